--- a/packages/anvilhinge/src/agent/assignment_follower.ts
+++ b/packages/anvilhinge/src/agent/assignment_follower.ts
@@ -22,7 +22,7 @@
   readonly signal: AbortSignal;
   readonly onAssignment: (received: assignment.Assignment) => void;
   /** Called when a stream to an entry ends. */
-  readonly onLost?: (address: string) => void;
+  readonly onDisconnect?: (address: string) => void;
 }
 
 const followedEntries = 2;
@@ -68,7 +68,7 @@
         // A broken stream is followed anew below, maybe elsewhere.
       }
       active.delete(address);
-      if (!options.signal.aborted) options.onLost?.(address);
+      if (!options.signal.aborted) options.onDisconnect?.(address);
     }
     options.scheduler.schedule(() => void keepFollowing(), {
       delayMs: reconnectMs * (0.5 + options.random()),
--- a/packages/anvilhinge/src/agent/attempts.ts
+++ b/packages/anvilhinge/src/agent/attempts.ts
@@ -8,7 +8,7 @@
 import type * as engine from "../ports/engine.ts";
 import * as frames from "../ports/frames.ts";
 import * as frameLogs from "./frame_logs.ts";
-import * as startRecords from "./start_records.ts";
+import * as startGuard from "./start_guard.ts";
 
 /** Receives the frames of one attempt in order. */
 export type FrameSink = (frame: frames.Frame) => void;
@@ -100,12 +100,12 @@
   cancel(attemptId: string): boolean;
   seal(request: frames.SealRequest): frames.SealOutcome;
   /** Tells that a follower has the attempt's last frame. */
-  markTaken(attemptId: string): void;
+  markDelivered(attemptId: string): void;
   /** Drops what is past its retention; returns orphans to cancel. */
   expire(): readonly string[];
   countRunning(): number;
   /** Finished attempts whose last frame no follower has. */
-  countUntaken(): number;
+  countUndelivered(): number;
   /** Bytes of frames that are held. */
   countHeldBytes(): number;
 }
@@ -125,7 +125,7 @@
   const logs = frameLogs.createFrameLogs({
     limitBytes: options.heldLimitBytes ?? defaultHeldLimitBytes,
   });
-  const starts = startRecords.createStartRecords({
+  const starts = startGuard.createStartGuard({
     clock: options.clock,
     incarnation: options.incarnation,
     retentionMs,
@@ -321,11 +321,11 @@
     seal(request) {
       const entry = held.get(request.attemptId);
       if (entry !== undefined) return entry.state;
-      if (!starts.isSurelyUnstarted(request)) return "unknown";
+      if (!starts.hasNeverStarted(request)) return "unknown";
       starts.forbid(request.attemptId, request.startByMs);
       return "sealed";
     },
-    markTaken(attemptId) {
+    markDelivered(attemptId) {
       const entry = held.get(attemptId);
       if (entry?.state === "finished") entry.isTaken = true;
     },
@@ -350,7 +350,7 @@
       return orphans;
     },
     countRunning: () => runningCount,
-    countUntaken: () =>
+    countUndelivered: () =>
       [...held.values()].filter((entry) =>
         entry.state === "finished" && !entry.isTaken
       ).length,
--- a/packages/anvilhinge/src/agent/attempts_test.ts
+++ b/packages/anvilhinge/src/agent/attempts_test.ts
@@ -172,7 +172,7 @@
   table.offer(buildAttempt(), sink);
   table.stop();
   table.receiveEvent("a1", { kind: "end" });
-  expect(table.countUntaken()).toBe(1);
-  table.markTaken("a1");
-  expect(table.countUntaken()).toBe(0);
+  expect(table.countUndelivered()).toBe(1);
+  table.markDelivered("a1");
+  expect(table.countUndelivered()).toBe(0);
 });
--- a/packages/anvilhinge/src/agent/mod.ts
+++ b/packages/anvilhinge/src/agent/mod.ts
@@ -219,7 +219,7 @@
   assignmentFollower.followAssignment({
     ...following,
     onAssignment: gate.receive,
-    onLost: (lost) => logger.warnOnce(lost, `Lost the entry at ${lost}`),
+    onDisconnect: (lost) => logger.warnOnce(lost, `Lost the entry at ${lost}`),
   });
   expireRegularly(parts);
   logger.info(
@@ -228,7 +228,7 @@
 
   /** Whether an entry still reads an answer, or has yet to come for one. */
   function hasReaders(): boolean {
-    return parts.service.countStreams() > 0 || attempts.countUntaken() > 0;
+    return parts.service.countStreams() > 0 || attempts.countUndelivered() > 0;
   }
 
   return {
@@ -248,7 +248,7 @@
       logger.info("Stopped");
     },
     kill: () => abort.abort(),
-    countOpen: () => attempts.countRunning() + attempts.countUntaken(),
+    countOpen: () => attempts.countRunning() + attempts.countUndelivered(),
   };
 }
 
--- a/packages/anvilhinge/src/agent/orders.ts
+++ b/packages/anvilhinge/src/agent/orders.ts
@@ -84,7 +84,7 @@
         return feed({ kind: "state", state: await engine.readState() });
       case "execute": {
         const { term, order } = effect.order;
-        const number = fencing.computeEngineNumber(term);
+        const number = fencing.computeEngineFencingNumber(term);
         const outcome = await engine.execute(order, number);
         return feed({ kind: "executed", outcome });
       }
--- a/packages/anvilhinge/src/agent/ranks/map_duty.ts
+++ b/packages/anvilhinge/src/agent/ranks/map_rebalancer.ts
@@ -12,18 +12,18 @@
 import type * as scheduler from "../../ports/scheduler.ts";
 import type * as routing from "../../settings/routing.ts";
 import type * as logger from "../../telemetry/logger.ts";
-import type * as rankCalls from "./rank_calls.ts";
+import type * as rankRpc from "./rank_rpc.ts";
 import type * as rankPeers from "./rank_peers.ts";
-import type * as rankReach from "./rank_reach.ts";
+import type * as rankCallRouter from "./rank_call_router.ts";
 
-export interface MapDutyOptions {
+export interface MapRebalancerOptions {
   readonly engine: rankEngine.RankEngine;
   readonly experts: routing.ExpertSpec;
   /** Requests that one rank works on at once. */
   readonly slots: number;
   readonly scheduler: scheduler.Scheduler;
   readonly logger: logger.Logger;
-  readonly callRank: rankReach.CallRank;
+  readonly callRank: rankCallRouter.CallRank;
   readonly createVersion: mapVersions.CreateMapVersion;
   /** Whether the epoch began after the process did. */
   readonly isEpochNew: (epoch: number) => boolean;
@@ -31,18 +31,18 @@
   readonly maxCopiesPerRank: number;
 }
 
-export interface MapDuty {
+export interface MapRebalancer {
   /**
    * Takes one turn of the leader; resolves when it is over. Must not be called
    * again before.
    */
-  takeTurn(own: rankPeers.RankStatus): Promise<void>;
+  tick(own: rankPeers.RankStatus): Promise<void>;
   /** Forgets what it counted, for an agent that no longer leads. */
-  rest(): void;
+  reset(): void;
 }
 
 /** A rank's report and experts, read in one call. */
-type Collected = Extract<rankCalls.RankAnswer, { readonly kind: "experts" }>;
+type Collected = Extract<rankRpc.RankAnswer, { readonly kind: "experts" }>;
 
 /** By rank; undefined for a rank that did not answer. */
 type Collection = readonly (Collected | undefined)[];
@@ -92,7 +92,9 @@
 const failurePauseMs = 300;
 
 /** Creates the duty of one agent. */
-export function createMapDuty(options: MapDutyOptions): MapDuty {
+export function createMapRebalancer(
+  options: MapRebalancerOptions,
+): MapRebalancer {
   const { engine, experts, scheduler, logger } = options;
   const window = countsWindow.createCountsWindow({
     layerCount: experts.sets,
@@ -124,7 +126,7 @@
   /** Reads all ranks; those that don't answer are undefined. */
   async function collect(
     own: rankPeers.RankStatus,
-    callOptions: rankReach.CallOptions,
+    callOptions: rankCallRouter.CallOptions,
   ): Promise<Collection> {
     const ranks = Array.from({ length: own.size }, (_, rank) => rank);
     const answers = await Promise.all(
@@ -180,10 +182,10 @@
       ownRank: own.rank,
       rankCount: own.size,
       epoch: own.epoch,
-      computeLead,
+      computeLeadPasses: computeLead,
       lastHeldStep: lastHeldStep ?? 0,
       createVersion: options.createVersion,
-      getLeader: mapVersions.getLeader,
+      getLeaderRank: mapVersions.getLeaderRank,
     });
     return new Promise((resolve) => {
       function feed(next: switchRound.RoundEvent): void {
@@ -249,7 +251,7 @@
       kind: "clear",
       heldRank: rank,
       heldStep,
-      inForce: map.layers,
+      currentLayers: map.layers,
     }, silentRank);
     logger.info("Ended a hold", { ...details, phaseMs, outcome });
   }
@@ -274,7 +276,7 @@
     const { outcome, phaseMs } = await runRound(own, {
       kind: "start",
       layers: plan.map.layers,
-      inForce: map.layers,
+      currentLayers: map.layers,
       states: map.states,
     });
     const isSwitched = outcome.kind === "switched";
@@ -354,12 +356,12 @@
   }
 
   return {
-    async takeTurn(own) {
+    async tick(own) {
       enterEpoch(own);
       observePass(own);
       const popularity = await observe();
       const isDue = popularity !== undefined &&
-        popularity.agreeing >= minAgreeing && own.step >= switchStep &&
+        popularity.agreeingSamples >= minAgreeing && own.step >= switchStep &&
         scheduler.now() >= pausedUntilMs;
       const isStalled =
         own.stalledMs >= Math.max(stallMs, stallPasses * passMs);
@@ -390,7 +392,7 @@
       if (skew <= allowedSkew) return;
       return switchMap(own, { map, popularity, allowedSkew });
     },
-    rest() {
+    reset() {
       window.reset();
     },
   };
@@ -401,7 +403,7 @@
   effect: Exclude<switchRound.RoundEffect, { readonly kind: "finish" }>,
   phase: switchRound.RoundPhase,
   isSilent: boolean,
-): rankReach.CallOptions {
+): rankCallRouter.CallOptions {
   if (phase === "preparing") {
     const timeoutMs = effect.kind === "read" ? readTimeoutMs : orderTimeoutMs;
     return { timeoutMs, way: "agent" };
@@ -438,7 +440,7 @@
 }
 
 function convertAnswer(
-  answer: rankCalls.RankAnswer | undefined,
+  answer: rankRpc.RankAnswer | undefined,
   { call, rank }: { readonly call: number; readonly rank: number },
 ): switchRound.RoundEvent {
   switch (answer?.kind) {
--- a/packages/anvilhinge/src/agent/ranks/order_runner.ts
+++ b/packages/anvilhinge/src/agent/ranks/order_runner.ts
@@ -21,11 +21,17 @@
   options: RunOrderOptions,
 ): Promise<rankOrders.OrderOutcome> {
   const { engine, scheduler, order, epoch } = options;
-  const settler = orderSettler.createSettler({ order, epoch, maxSendings });
+  const settler = orderSettler.createOrderSettler({
+    order,
+    epoch,
+    maxSendAttempts: maxSendings,
+  });
   const abort = new AbortController();
 
   return new Promise((resolve) => {
-    function execute(effects: readonly orderSettler.SettlerEffect[]): void {
+    function execute(
+      effects: readonly orderSettler.OrderSettlerEffect[],
+    ): void {
       for (const effect of effects) {
         switch (effect.kind) {
           case "read":
--- a/packages/anvilhinge/src/agent/ranks/rank_agent.ts
+++ b/packages/anvilhinge/src/agent/ranks/rank_agent.ts
@@ -9,16 +9,16 @@
 import type * as rankEngine from "../../ports/rank_engine.ts";
 import type * as scheduler from "../../ports/scheduler.ts";
 import type * as logger from "../../telemetry/logger.ts";
-import * as distantEngine from "./distant_engine.ts";
-import * as mapDuty from "./map_duty.ts";
-import * as passWatch from "./pass_watch.ts";
-import * as rankCalls from "./rank_calls.ts";
+import * as remoteEngine from "./remote_engine.ts";
+import * as mapRebalancer from "./map_rebalancer.ts";
+import * as stallDetector from "./stall_detector.ts";
+import * as rankRpc from "./rank_rpc.ts";
 import * as rankPeers from "./rank_peers.ts";
-import * as rankReach from "./rank_reach.ts";
+import * as rankCallRouter from "./rank_call_router.ts";
 
 /** What the leader must know of the group's engines. */
 export interface GroupSpec
-  extends Pick<mapDuty.MapDutyOptions, "experts" | "slots"> {
+  extends Pick<mapRebalancer.MapRebalancerOptions, "experts" | "slots"> {
   /** Age that reports have that are read from another machine. */
   readonly reportLagMs: number;
 }
@@ -30,8 +30,8 @@
 
 export type RankMessage =
   | StatusMessage
-  | rankCalls.CallMessage
-  | rankCalls.AnswerMessage;
+  | rankRpc.CallMessage
+  | rankRpc.AnswerMessage;
 
 export interface RankAgentOptions {
   /** Engine on the own machine. */
@@ -83,26 +83,26 @@
 export function startRankAgent(options: RankAgentOptions): RankAgent {
   const { engine, scheduler, signal, sockets, logger } = options;
   const peers = rankPeers.createRankPeers({ clock: scheduler });
-  const passes = passWatch.createPassWatch();
-  const calls = rankCalls.createRankCalls({
+  const passes = stallDetector.createStallDetector();
+  const calls = rankRpc.createRankRpc({
     engine,
     scheduler,
     sockets,
     incarnation: options.incarnation,
   });
-  const callRank = rankReach.createRankReach({
+  const callRank = rankCallRouter.createRankCallRouter({
     calls,
     peers,
     scheduler,
     openEngine: (address) =>
-      distantEngine.createDistantEngine({
+      remoteEngine.createRemoteEngine({
         engine: options.openEngine(address),
         scheduler,
         reportLagMs: reportLagSlackMs +
           (options.getSpec()?.reportLagMs ?? defaultReportLagMs),
       }),
   });
-  let duty: mapDuty.MapDuty | undefined;
+  let duty: mapRebalancer.MapRebalancer | undefined;
   let dutyRank: number | undefined;
   /** Epoch that was open when the process first looked. */
   let firstOpenEpoch: number | undefined;
@@ -161,7 +161,7 @@
         live: peers.listLive().length + 1,
       });
     }
-    if (!leads) duty?.rest();
+    if (!leads) duty?.reset();
   }
 
   /** Takes turns while this agent leads; its statuses go on meanwhile. */
@@ -170,7 +170,7 @@
       const status = peers.getOwn();
       const spec = options.getSpec();
       if (isLeading && status !== undefined && spec !== undefined) {
-        await getDuty(status, spec).takeTurn(status);
+        await getDuty(status, spec).tick(status);
       }
       await delay.waitFor(scheduler, { delayMs: leaderTurnMs, signal });
     }
@@ -179,18 +179,18 @@
   function getDuty(
     status: rankPeers.RankStatus,
     group: GroupSpec,
-  ): mapDuty.MapDuty {
+  ): mapRebalancer.MapRebalancer {
     // Versions carry the rank, which another epoch may change.
     if (duty !== undefined && dutyRank === status.rank) return duty;
     dutyRank = status.rank;
-    duty = mapDuty.createMapDuty({
+    duty = mapRebalancer.createMapRebalancer({
       engine,
       experts: group.experts,
       slots: group.slots,
       scheduler,
       logger,
       callRank,
-      createVersion: mapVersions.createMapVersions({
+      createVersion: mapVersions.createMapVersionGenerator({
         rank: status.rank,
         readWallMs: options.readWallMs,
       }),
--- a/packages/anvilhinge/src/agent/ranks/rank_reach.ts
+++ b/packages/anvilhinge/src/agent/ranks/rank_call_router.ts
@@ -5,11 +5,11 @@
  */
 import type * as rankEngine from "../../ports/rank_engine.ts";
 import type * as scheduler from "../../ports/scheduler.ts";
-import * as rankCalls from "./rank_calls.ts";
+import * as rankRpc from "./rank_rpc.ts";
 import type * as rankPeers from "./rank_peers.ts";
 
 /** The way to a rank. */
-export type Way =
+export type CallRoute =
   | "agent"
   /** Its agent, and straight to the engine when that is silent. */
   | "either"
@@ -17,18 +17,18 @@
 
 export interface CallOptions {
   readonly timeoutMs: number;
-  readonly way: Way;
+  readonly way: CallRoute;
 }
 
 /** Calls a rank; resolves to undefined when it did not answer in time. */
 export type CallRank = (
   rank: number,
-  call: rankCalls.RankCall,
+  call: rankRpc.RankCall,
   options: CallOptions,
-) => Promise<rankCalls.RankAnswer | undefined>;
+) => Promise<rankRpc.RankAnswer | undefined>;
 
-export interface RankReachOptions {
-  readonly calls: rankCalls.RankCalls;
+export interface RankCallRouterOptions {
+  readonly calls: rankRpc.RankRpc;
   readonly peers: rankPeers.RankPeers;
   readonly scheduler: scheduler.Scheduler;
   /** Opens the engine of another agent; its reads are never outdated. */
@@ -42,8 +42,8 @@
 const agentAnswerMs = 120;
 
 /** Creates the calls of a leader to its ranks. */
-export function createRankReach(
-  { calls, peers, scheduler, openEngine }: RankReachOptions,
+export function createRankCallRouter(
+  { calls, peers, scheduler, openEngine }: RankCallRouterOptions,
 ): CallRank {
   const engines = new Map<string, rankEngine.RankEngine>();
 
@@ -56,21 +56,21 @@
 
   function askEngine(
     { status }: rankPeers.RankPeer,
-    call: rankCalls.RankCall,
-  ): Promise<rankCalls.RankAnswer> {
+    call: rankRpc.RankCall,
+  ): Promise<rankRpc.RankAnswer> {
     const engine = getEngine(status.engine);
-    return rankCalls.executeCall(call, { engine, scheduler });
+    return rankRpc.executeCall(call, { engine, scheduler });
   }
 
   function askEither(
     peer: rankPeers.RankPeer,
-    call: rankCalls.RankCall,
+    call: rankRpc.RankCall,
     timeoutMs: number,
-  ): Promise<rankCalls.RankAnswer | undefined> {
+  ): Promise<rankRpc.RankAnswer | undefined> {
     return new Promise((resolve) => {
       const answered = new AbortController();
       const { signal } = answered;
-      function finish(answer: rankCalls.RankAnswer | undefined): void {
+      function finish(answer: rankRpc.RankAnswer | undefined): void {
         answered.abort();
         resolve(answer);
       }
@@ -92,11 +92,11 @@
 
   return async (rank, call, { timeoutMs, way }) => {
     if (rank === peers.getOwn()?.rank) return await calls.execute(call);
-    const peer = peers.findLast(rank);
+    const peer = peers.findLastSeen(rank);
     if (peer === undefined) return undefined;
     switch (way) {
       case "agent":
-        return peers.isKnown(peer)
+        return peers.isRecent(peer)
           ? await calls.call(peer.address, call, { timeoutMs })
           : undefined;
       case "either":
--- a/packages/anvilhinge/src/agent/ranks/rank_peers.ts
+++ b/packages/anvilhinge/src/agent/ranks/rank_peers.ts
@@ -25,7 +25,7 @@
 export interface RankPeer {
   readonly address: string;
   readonly status: RankStatus;
-  readonly heardAtMs: number;
+  readonly lastSeenAtMs: number;
 }
 
 export interface RankPeers {
@@ -37,9 +37,9 @@
   /** Whether the peer was heard of lately, by the measure for its rank. */
   isLive(peer: RankPeer): boolean;
   /** Whether the peer was heard of within the longer time. */
-  isKnown(peer: RankPeer): boolean;
+  isRecent(peer: RankPeer): boolean;
   /** Returns the last agent of a rank in the present epoch, live or not. */
-  findLast(rank: number): RankPeer | undefined;
+  findLastSeen(rank: number): RankPeer | undefined;
   /** Whether this rank tells all others of itself often. */
   isCandidate(): boolean;
   isLeading(): boolean;
@@ -52,12 +52,12 @@
    * its messages. A leader that is taken over too soon does no harm.
    * @default 450
    */
-  readonly candidateSilenceMs?: number;
+  readonly candidateTimeoutMs?: number;
   /**
    * The same for the others, which say something less often.
    * @default 3000
    */
-  readonly silenceMs?: number;
+  readonly peerTimeoutMs?: number;
 }
 
 const defaultCandidateSilenceMs = 450;
@@ -67,13 +67,13 @@
 
 /** Creates a table without peers. */
 export function createRankPeers(options: RankPeersOptions): RankPeers {
-  const silenceMs = options.silenceMs ?? defaultSilenceMs;
-  const candidateSilenceMs = options.candidateSilenceMs ??
+  const silenceMs = options.peerTimeoutMs ?? defaultSilenceMs;
+  const candidateSilenceMs = options.candidateTimeoutMs ??
     defaultCandidateSilenceMs;
   const peers = new Map<number, RankPeer>();
   let own: RankStatus | undefined;
 
-  function isKnown({ status, heardAtMs }: RankPeer): boolean {
+  function isKnown({ status, lastSeenAtMs: heardAtMs }: RankPeer): boolean {
     return status.group === own?.group &&
       options.clock.now() - heardAtMs < silenceMs;
   }
@@ -95,7 +95,7 @@
 
   function isLiveAmong(peer: RankPeer, known: readonly RankPeer[]): boolean {
     return !isCandidateRank(peer.status.rank, known) ||
-      options.clock.now() - peer.heardAtMs < candidateSilenceMs;
+      options.clock.now() - peer.lastSeenAtMs < candidateSilenceMs;
   }
 
   function listLive(): readonly RankPeer[] {
@@ -112,13 +112,13 @@
       peers.set(status.rank, {
         address,
         status,
-        heardAtMs: options.clock.now(),
+        lastSeenAtMs: options.clock.now(),
       });
     },
     listLive,
     isLive: (peer) => isKnown(peer) && isLiveAmong(peer, listKnown()),
-    isKnown,
-    findLast(rank) {
+    isRecent: isKnown,
+    findLastSeen(rank) {
       const peer = peers.get(rank);
       const isOfEpoch = peer?.status.group === own?.group &&
         peer?.status.epoch === own?.epoch;
--- a/packages/anvilhinge/src/agent/ranks/rank_calls.ts
+++ b/packages/anvilhinge/src/agent/ranks/rank_rpc.ts
@@ -42,7 +42,7 @@
   readonly answer: RankAnswer;
 }
 
-export interface RankCallsOptions {
+export interface RankRpcOptions {
   readonly engine: rankEngine.RankEngine;
   readonly scheduler: scheduler.Scheduler;
   readonly sockets: datagrams.Datagrams;
@@ -50,7 +50,7 @@
   readonly incarnation: string;
 }
 
-export interface RankCalls {
+export interface RankRpc {
   /** Calls an agent; resolves to undefined when it does not answer in time. */
   call(
     address: string,
@@ -72,7 +72,7 @@
 /** Carries a call out at an engine. */
 export async function executeCall(
   call: RankCall,
-  { engine, scheduler }: Pick<RankCallsOptions, "engine" | "scheduler">,
+  { engine, scheduler }: Pick<RankRpcOptions, "engine" | "scheduler">,
 ): Promise<RankAnswer> {
   switch (call.kind) {
     case "report": {
@@ -105,7 +105,7 @@
 }
 
 /** Creates the calls of one agent. */
-export function createRankCalls(options: RankCallsOptions): RankCalls {
+export function createRankRpc(options: RankRpcOptions): RankRpc {
   const { engine, scheduler } = options;
   const open = new Map<string, (answer: RankAnswer | undefined) => void>();
   /** Calls that arrived, so that a repetition is not carried out again. */
--- a/packages/anvilhinge/src/agent/ranks/distant_engine.ts
+++ b/packages/anvilhinge/src/agent/ranks/remote_engine.ts
@@ -3,7 +3,7 @@
 import type * as rankEngine from "../../ports/rank_engine.ts";
 import type * as scheduler from "../../ports/scheduler.ts";
 
-export interface DistantEngineOptions {
+export interface RemoteEngineOptions {
   readonly engine: rankEngine.RankEngine;
   readonly scheduler: scheduler.Scheduler;
   /** Oldest that the state in a report may be, in milliseconds. */
@@ -15,8 +15,8 @@
  * rounds rest on that, and the reports that an engine gives to other machines
  * may lag.
  */
-export function createDistantEngine(
-  { engine, scheduler, reportLagMs }: DistantEngineOptions,
+export function createRemoteEngine(
+  { engine, scheduler, reportLagMs }: RemoteEngineOptions,
 ): rankEngine.RankEngine {
   const waitForLag = (): Promise<void> =>
     delay.waitFor(scheduler, { delayMs: reportLagMs });
--- a/packages/anvilhinge/src/agent/ranks/pass_watch.ts
+++ b/packages/anvilhinge/src/agent/ranks/stall_detector.ts
@@ -8,13 +8,13 @@
   readonly isBusy: boolean;
 }
 
-export interface PassWatch {
+export interface StallDetector {
   /** Returns for how long no pass has begun, in milliseconds. */
   observe(sample: PassSample): number;
 }
 
 /** Creates a watch that has seen nothing. */
-export function createPassWatch(): PassWatch {
+export function createStallDetector(): StallDetector {
   let since: PassSample | undefined;
   return {
     observe(sample) {
--- a/packages/anvilhinge/src/agent/ranks/pass_watch_test.ts
+++ b/packages/anvilhinge/src/agent/ranks/stall_detector_test.ts
@@ -1,21 +1,21 @@
-import * as passWatch from "./pass_watch.ts";
+import * as stallDetector from "./stall_detector.ts";
 
 function createSample(
-  overrides: Partial<passWatch.PassSample>,
-): passWatch.PassSample {
+  overrides: Partial<stallDetector.PassSample>,
+): stallDetector.PassSample {
   return { atMs: 0, epoch: 1, step: 10, isBusy: true, ...overrides };
 }
 
 describe("pass watch", () => {
   it("counts the time in which a busy rank begins no pass", () => {
-    const watch = passWatch.createPassWatch();
+    const watch = stallDetector.createStallDetector();
     expect(watch.observe(createSample({ atMs: 100 }))).toBe(0);
     expect(watch.observe(createSample({ atMs: 350 }))).toBe(250);
     expect(watch.observe(createSample({ atMs: 700 }))).toBe(600);
   });
 
   it("starts anew with each pass and each epoch", () => {
-    const watch = passWatch.createPassWatch();
+    const watch = stallDetector.createStallDetector();
     watch.observe(createSample({ atMs: 0 }));
     expect(watch.observe(createSample({ atMs: 400, step: 11 }))).toBe(0);
     expect(watch.observe(createSample({ atMs: 900, step: 11 }))).toBe(500);
@@ -24,7 +24,7 @@
   });
 
   it("does not count the time without requests", () => {
-    const watch = passWatch.createPassWatch();
+    const watch = stallDetector.createStallDetector();
     watch.observe(createSample({ atMs: 0, isBusy: false }));
     expect(watch.observe(createSample({ atMs: 5_000, isBusy: false }))).toBe(0);
     expect(watch.observe(createSample({ atMs: 5_300 }))).toBe(300);
--- a/packages/anvilhinge/src/agent/service.ts
+++ b/packages/anvilhinge/src/agent/service.ts
@@ -126,7 +126,7 @@
       for await (const frame of queue) {
         waitingBytes -= measureData(frame);
         yield frameCodec.encodeFrame(frame);
-        if (isLast(frame)) options.attempts.markTaken(attemptId);
+        if (isLast(frame)) options.attempts.markDelivered(attemptId);
       }
     } finally {
       streamCount -= 1;
--- a/packages/anvilhinge/src/agent/start_records.ts
+++ b/packages/anvilhinge/src/agent/start_guard.ts
@@ -6,7 +6,7 @@
 import type * as clock from "@anvilhinge/coordination/clock";
 import * as frames from "../ports/frames.ts";
 
-export interface StartRecordsOptions {
+export interface StartGuardOptions {
   readonly clock: clock.Clock;
   readonly incarnation: string;
   /** How long records of finished attempts are kept, in milliseconds. */
@@ -19,7 +19,7 @@
   readonly startByMs: number;
 }
 
-export interface StartRecords {
+export interface StartGuard {
   /** Why the limits forbid a start now; undefined when they allow it. */
   findRefusal(
     attemptId: string,
@@ -28,13 +28,13 @@
   /** Forbids the start of an attempt that has not started. */
   forbid(attemptId: string, startByMs: number): void;
   /** Whether an attempt without a record surely never started. */
-  isSurelyUnstarted(limits: StartLimits): boolean;
+  hasNeverStarted(limits: StartLimits): boolean;
   expire(): void;
   count(): number;
 }
 
 /** Creates an empty table of records. */
-export function createStartRecords(options: StartRecordsOptions): StartRecords {
+export function createStartGuard(options: StartGuardOptions): StartGuard {
   if (options.retentionMs < 2 * frames.startWindowMs) {
     throw new RangeError(
       `Retention must be at least ${2 * frames.startWindowMs} ms`,
@@ -54,7 +54,7 @@
     forbid(attemptId, startByMs) {
       startByOfForbidden.set(attemptId, startByMs);
     },
-    isSurelyUnstarted({ incarnation, startByMs }) {
+    hasNeverStarted({ incarnation, startByMs }) {
       if (incarnation !== options.incarnation) return false;
       const nowMs = options.clock.now();
       if (startByMs > nowMs + frames.startWindowMs) return false;
--- a/packages/anvilhinge/src/entry/callers/caller_error.ts
+++ b/packages/anvilhinge/src/entry/callers/caller_error.ts
@@ -30,7 +30,7 @@
   /** Advice when to come back, in milliseconds; 0 when there is none. */
   readonly retryAfterMs?: number;
   /** Set when the code alone does not tell. */
-  readonly ran?: session.Ran;
+  readonly ran?: session.RunStatus;
 }
 
 /** JSON body of an error answer. */
@@ -40,7 +40,7 @@
     readonly message: string;
     readonly request_id: string;
     /** Whether the request had any effect: `no`, `yes` in part, or `unknown`. */
-    readonly ran: session.Ran;
+    readonly ran: session.RunStatus;
   };
 }
 
@@ -94,7 +94,7 @@
   }
 }
 
-function describeEffect(error: CallerError): session.Ran {
+function describeEffect(error: CallerError): session.RunStatus {
   if (error.ran !== undefined) return error.ran;
   switch (error.code) {
     case "already_run":
--- a/packages/anvilhinge/src/entry/callers/callers_http.ts
+++ b/packages/anvilhinge/src/entry/callers/callers_http.ts
@@ -7,7 +7,7 @@
 import * as answerWriter from "./answer_writer.ts";
 import * as callIdentity from "../session/call_identity.ts";
 import type * as context from "../context.ts";
-import * as inquiry from "../session/inquiry.ts";
+import * as outcomeLookup from "../session/outcome_lookup.ts";
 import * as outcomeAnswer from "./outcome_answer.ts";
 import * as requestChecks from "./request_checks.ts";
 import * as requestRunner from "./request_runner.ts";
@@ -26,7 +26,7 @@
     help: "Answers to callers by status code",
     labelNames: ["status"],
   });
-  const askOutcome = inquiry.createInquiry(entry);
+  const askOutcome = outcomeLookup.createOutcomeLookup(entry);
   const runRequest = requestRunner.createRequestRunner(entry);
 
   async function handleChat(koa: Koa.Context): Promise<Handled> {
--- a/packages/anvilhinge/src/entry/callers/outcome_answer.ts
+++ b/packages/anvilhinge/src/entry/callers/outcome_answer.ts
@@ -1,6 +1,6 @@
 /** Writes what became of a call, for `GET /v1/requests/<request id>`. */
 import type Koa from "koa";
-import type * as inquiry from "../session/inquiry.ts";
+import type * as outcomeLookup from "../session/outcome_lookup.ts";
 import type * as requestChecks from "./request_checks.ts";
 
 const retryAfterMs = 1_000;
@@ -21,7 +21,7 @@
 /** Writes the outcome, or returns the error to answer with. */
 export function writeOutcome(
   koa: Koa.Context,
-  outcome: inquiry.InquiryAnswer,
+  outcome: outcomeLookup.CallOutcome,
 ): { readonly kind: "ok" } | requestChecks.Refused {
   switch (outcome.kind) {
     case "missing":
@@ -57,7 +57,7 @@
 function buildBody(
   requestId: string,
   outcome: Exclude<
-    inquiry.InquiryAnswer,
+    outcomeLookup.CallOutcome,
     { readonly kind: "missing" | "unavailable" }
   >,
 ): OutcomeBody {
--- a/packages/anvilhinge/src/entry/callers/request_runner.ts
+++ b/packages/anvilhinge/src/entry/callers/request_runner.ts
@@ -138,7 +138,7 @@
         },
       }),
       client: policy.watchFrames(entry.client),
-      agents: { clocks: entry.clocks, claims: entry.claims },
+      agents: { descriptions: entry.clocks, claims: entry.claims },
       scheduler: entry.scheduler,
       sink: writer,
       callerSignal: callerGone.signal,
--- a/packages/anvilhinge/src/entry/callers/routed_http.ts
+++ b/packages/anvilhinge/src/entry/callers/routed_http.ts
@@ -216,7 +216,7 @@
       scheduler,
       sink,
       callerSignal: callerGone.signal,
-      onFeed(feedSession) {
+      onFeedReady(feedSession) {
         feed = feedSession;
       },
       onDispatch: places.recordDispatch,
--- a/packages/anvilhinge/src/entry/choice/place_dispatch.ts
+++ b/packages/anvilhinge/src/entry/choice/place_dispatch.ts
@@ -36,12 +36,12 @@
 
 export interface PlaceDispatch {
   setPlaces(
-    places: readonly work.PlaceSpec[],
+    places: readonly work.UpstreamSpec[],
     specs: readonly work.PoolSpec[],
   ): void;
   recordPause(pool: string, pauseMs: number): void;
-  ask(asked: workClient.NewWork): void;
-  start(running: work.RunningWork): void;
+  ask(asked: workClient.SlotRequest): void;
+  start(running: work.RunningRequest): void;
   drop(key: string): void;
   handle(message: DispatchMessage, from: string): void;
   describe(): readonly workHub.PoolLoad[];
@@ -142,16 +142,16 @@
   tick();
   return {
     setPlaces(places, specs) {
-      client.setPlaces(places);
-      hub.setPlaces(places, specs);
+      client.setUpstreams(places);
+      hub.setUpstreams(places, specs);
     },
     recordPause: client.recordPause,
     ask(asked) {
-      client.ask(asked);
+      client.requestSlot(asked);
       scheduleReport();
     },
     start(running) {
-      client.start(running);
+      client.recordStart(running);
     },
     drop(key) {
       client.drop(key);
--- a/packages/anvilhinge/src/entry/choice/routed_policy.ts
+++ b/packages/anvilhinge/src/entry/choice/routed_policy.ts
@@ -36,7 +36,7 @@
 
 /** Follows one request from its arrival to its end. */
 export interface RequestPlaces {
-  chooseUpstream(tried: ReadonlySet<string>): session.Choice;
+  chooseUpstream(tried: ReadonlySet<string>): session.UpstreamChoice;
   takeRetry(): boolean;
   recordDispatch(upstream: session.Upstream): void;
   recordOutcome(
@@ -145,7 +145,7 @@
     share: usedBudgetShare * retries.share,
     burst: usedBudgetShare * retries.extra / 2,
     minPerSecond: usedBudgetShare * retries.extra / 2 / windowSeconds,
-    readPart: () => 1 / Math.max(1, options.members.countEntries()),
+    readFraction: () => 1 / Math.max(1, options.members.countEntries()),
   });
   const dispatch = placeDispatch.startPlaceDispatch({
     entryId: options.entryId,
@@ -227,7 +227,7 @@
   function chooseLeastLoaded(
     service: string,
     tried: ReadonlySet<string>,
-  ): session.Choice {
+  ): session.UpstreamChoice {
     const usable = listUsable(service).filter(({ listed }) =>
       !tried.has(listed.id)
     );
@@ -281,7 +281,7 @@
       waitingKey = undefined;
     }
 
-    function askForPlace(tried: ReadonlySet<string>): session.Choice {
+    function askForPlace(tried: ReadonlySet<string>): session.UpstreamChoice {
       const usable = listUsable(work.service);
       if (usable.every(({ listed }) => tried.has(listed.id))) {
         const reason = `No upstream of service ${work.service} is left`;
--- a/packages/anvilhinge/src/entry/choice/upstreams.ts
+++ b/packages/anvilhinge/src/entry/choice/upstreams.ts
@@ -57,7 +57,7 @@
   setGroup(spec: GroupSpec): void;
   removeGroup(name: string): void;
   setAssignment(received: assignment.Assignment): void;
-  choose(need: Need, options: ChooseOptions): session.Choice;
+  choose(need: Need, options: ChooseOptions): session.UpstreamChoice;
   recordDispatch(upstreamId: string): void;
   recordOutcome(upstreamId: string, outcome: Outcome): void;
   /** Names of what the half serves now, for `GET /v1/models`. */
@@ -165,7 +165,7 @@
   function describeNone(
     need: Need,
     outcome: Exclude<choice.ChoiceOutcome<Known>, { kind: "chosen" }>,
-  ): session.Choice {
+  ): session.UpstreamChoice {
     const wanted = `${need.kind} "${need.serves}"`;
     switch (outcome.kind) {
       case "unserved":
--- a/packages/anvilhinge/src/entry/choice/work_policy.ts
+++ b/packages/anvilhinge/src/entry/choice/work_policy.ts
@@ -34,7 +34,7 @@
 
 /** Follows one request from its arrival to its end. */
 export interface RequestPolicy {
-  chooseUpstream(tried: ReadonlySet<string>): session.Choice;
+  chooseUpstream(tried: ReadonlySet<string>): session.UpstreamChoice;
   takeRetry(): boolean;
   recordDispatch(upstream: session.Upstream): void;
   recordOutcome(
@@ -129,7 +129,9 @@
   });
 
   function checkStalls(): void {
-    for (const upstreamId of watch.expire()) checked.recordStall(upstreamId);
+    for (const upstreamId of watch.detectStalled()) {
+      checked.recordStall(upstreamId);
+    }
     clock.schedule(checkStalls, { delayMs: stallCheckMs, signal });
   }
 
--- a/packages/anvilhinge/src/entry/context.ts
+++ b/packages/anvilhinge/src/entry/context.ts
@@ -8,7 +8,7 @@
 import type * as tracing from "../telemetry/tracing.ts";
 import type * as addresses from "./choice/addresses.ts";
 import type * as agentClient from "./session/agent_client.ts";
-import type * as agentClocks from "./session/agent_clocks.ts";
+import type * as descriptionCache from "./session/description_cache.ts";
 import type * as catalog from "./choice/catalog.ts";
 import type * as claimStore from "./session/claim_store.ts";
 import type * as upstreams from "./choice/upstreams.ts";
@@ -37,7 +37,7 @@
   readonly upstreams: upstreams.UpstreamTable;
   readonly policy: workPolicy.WorkPolicy;
   readonly client: agentClient.AgentClient;
-  readonly clocks: agentClocks.AgentClocks;
+  readonly clocks: descriptionCache.DescriptionCache;
   readonly claims: claimStore.ClaimStore;
   /** Wall-clock time in milliseconds since 1970. */
   readonly readWallMs: () => number;
--- a/packages/anvilhinge/src/entry/control/assignment_writer.ts
+++ b/packages/anvilhinge/src/entry/control/assignment_writer.ts
@@ -10,10 +10,10 @@
 export function writeRecord(
   entry: WriterContext,
   next: handover.StoredRecord,
-): Promise<conditionalWrite.SettledWrite> {
+): Promise<conditionalWrite.SettledOutcome> {
   const { record, version } = next;
   const changeId = record.changeIds[0] ?? "";
-  return conditionalWrite.writeSettled({
+  return conditionalWrite.writeUntilSettled({
     store: entry.store,
     schedule: entry.scheduler.schedule,
     key: assignmentCodec.formatKey(record.group),
--- a/packages/anvilhinge/src/entry/control/duties.ts
+++ b/packages/anvilhinge/src/entry/control/duties.ts
@@ -54,11 +54,11 @@
       createId: entry.createId,
       holder,
       address,
-      getPlace() {
+      getCandidateIndex() {
         const live = entry.listMembers().filter((member) =>
           member.state === "live"
         );
-        return bundle.rankCandidate(live, { key, id: settings.id });
+        return bundle.computeCandidateIndex(live, { key, id: settings.id });
       },
     });
     const driver = leaseDriver.driveLease({
@@ -77,7 +77,7 @@
   function getFencingNumber(dutyKey: string): number | undefined {
     const { bundlesPerHalf } = leaseKey;
     const bundleNumber = bundle.selectBundle(dutyKey, bundlesPerHalf);
-    return leases[bundleNumber]?.machine.getHeld();
+    return leases[bundleNumber]?.machine.getHeldFencingNumber();
   }
 
   return {
@@ -85,7 +85,7 @@
     getFencingNumber,
     listHeld: () =>
       leases.flatMap(({ machine }, bundleNumber) =>
-        machine.getHeld() === undefined ? [] : [bundleNumber]
+        machine.getHeldFencingNumber() === undefined ? [] : [bundleNumber]
       ),
     start(address) {
       for (let number = 0; number < leaseKey.bundlesPerHalf; number += 1) {
--- a/packages/anvilhinge/src/entry/control/gossip_node.ts
+++ b/packages/anvilhinge/src/entry/control/gossip_node.ts
@@ -162,7 +162,7 @@
       case "ready":
         return options.onReady();
       case "list_store":
-        return listStore(effect.isOnlyConfirming);
+        return listStore(effect.isReadinessCheck);
       case "set_watching":
         return effect.isWatching ? startWatch() : watch?.abort();
       case "members_changed":
--- a/packages/anvilhinge/src/entry/control/roster_node.ts
+++ b/packages/anvilhinge/src/entry/control/roster_node.ts
@@ -31,7 +31,7 @@
   readonly elapsed: clock.Clock;
   readonly readNews: () => routingView.ViewNews;
   readonly onNews: (
-    received: roster.ReceivedNews<routingView.ViewNews>,
+    received: roster.ReceivedHubStatus<routingView.ViewNews>,
   ) => void;
   readonly sockets: datagrams.Datagrams;
   readonly logger: logger.Logger;
@@ -53,8 +53,8 @@
   const { scheduler, signal, logger } = options;
   const core = roster.createRoster<EntryDetails, routingView.ViewNews>({
     clock: options.elapsed,
-    readNews: options.readNews,
-    onNews: options.onNews,
+    readHubStatus: options.readNews,
+    onHubStatus: options.onNews,
     self: options.self,
     seeds: options.seeds,
   });
--- a/packages/anvilhinge/src/entry/mod.ts
+++ b/packages/anvilhinge/src/entry/mod.ts
@@ -20,7 +20,7 @@
 import * as tracing from "../telemetry/tracing.ts";
 import type * as shutdown from "../ports/shutdown.ts";
 import * as agentClient from "./session/agent_client.ts";
-import * as agentClocks from "./session/agent_clocks.ts";
+import * as descriptionCache from "./session/description_cache.ts";
 import * as callersHttp from "./callers/callers_http.ts";
 import * as catalog from "./choice/catalog.ts";
 import * as claimStore from "./session/claim_store.ts";
@@ -132,7 +132,7 @@
       agentClient.createAgentClient({ signal: abort.signal })
     ).singleton(),
     clocks: awilix.asFunction(({ scheduler, client }: Parts) =>
-      agentClocks.createAgentClocks({ clock: scheduler, client })
+      descriptionCache.createDescriptionCache({ clock: scheduler, client })
     ).singleton(),
     readWallMs: awilix.asValue(Date.now),
     claims: awilix.asFunction((parts: Parts) =>
@@ -338,7 +338,7 @@
         await delay.waitFor(scheduler, { delayMs: drainPollMs });
       }
       const recordByMs = scheduler.now() + recordWaitMs;
-      while (parts.claims.countWaiting() > 0 && scheduler.now() < recordByMs) {
+      while (parts.claims.countPending() > 0 && scheduler.now() < recordByMs) {
         await delay.waitFor(scheduler, { delayMs: drainPollMs });
       }
       await parts.tracing.stop();
--- a/packages/anvilhinge/src/entry/operators/moves.ts
+++ b/packages/anvilhinge/src/entry/operators/moves.ts
@@ -162,7 +162,7 @@
 
   function convertOutcome(
     outcome: Exclude<
-      conditionalWrite.SettledWrite,
+      conditionalWrite.SettledOutcome,
       { readonly kind: "accepted" }
     >,
     changeId: string,
--- a/packages/anvilhinge/src/entry/operators/settings_change.ts
+++ b/packages/anvilhinge/src/entry/operators/settings_change.ts
@@ -61,7 +61,7 @@
 
 function convertPresent(
   stored: objectStore.StoredObject | undefined,
-): ambiguousWrite.PresentObject {
+): ambiguousWrite.ObjectHistory {
   if (stored === undefined) return { version: 0, changes: [] };
   const changes = record.parseRecord(stored.value)?.changes ?? [];
   return { version: stored.version, changes };
--- a/packages/anvilhinge/src/entry/routed_entry.ts
+++ b/packages/anvilhinge/src/entry/routed_entry.ts
@@ -166,7 +166,8 @@
     scheduler: clock,
     elapsed,
     readNews: () => view.readNews(),
-    onNews: ({ news, trueAfterMs }) => view.receiveNews(news, trueAfterMs),
+    onNews: ({ news, sampledAfterMs: trueAfterMs }) =>
+      view.receiveNews(news, trueAfterMs),
     sockets,
     logger: log,
     signal: abort.signal,
--- a/packages/anvilhinge/src/entry/session/attempt_state.ts
+++ b/packages/anvilhinge/src/entry/session/attempt_state.ts
@@ -117,7 +117,7 @@
 }
 
 /** Whether a frame of this kind may stand at this place of an answer. */
-export function isInPlace(frame: frames.Frame): boolean {
+export function isValidPosition(frame: frames.Frame): boolean {
   switch (frame.body.kind) {
     case "accepted":
     case "refused":
--- a/packages/anvilhinge/src/entry/session/claim_store.ts
+++ b/packages/anvilhinge/src/entry/session/claim_store.ts
@@ -24,7 +24,7 @@
   /** Never rejects; a fault of the store is the result `unavailable`. */
   submit(operation: claims.ClaimOperation): Promise<claims.ClaimResult>;
   /** Operations that are not answered. */
-  countWaiting(): number;
+  countPending(): number;
 }
 
 type Answer = (result: claims.ClaimResult) => void;
@@ -110,7 +110,7 @@
         feed({ kind: "submitted", operationId, operation });
       });
     },
-    countWaiting: () => answers.size,
+    countPending: () => answers.size,
   };
 }
 
--- a/packages/anvilhinge/src/entry/session/claim_store_test.ts
+++ b/packages/anvilhinge/src/entry/session/claim_store_test.ts
@@ -165,7 +165,7 @@
     state: { kind: "finished", answer },
   });
   await scheduler.advanceAsync(30_000);
-  expect(store.countWaiting()).toBe(1);
+  expect(store.countPending()).toBe(1);
   storeFaults.set({ kind: "none" });
   await scheduler.advanceAsync(3_000);
   await settled;
--- a/packages/anvilhinge/src/entry/session/agent_clocks.ts
+++ b/packages/anvilhinge/src/entry/session/description_cache.ts
@@ -8,7 +8,7 @@
 import type * as agentClient from "./agent_client.ts";
 import type * as sessionTypes from "./session_types.ts";
 
-export interface AgentClocksOptions {
+export interface DescriptionCacheOptions {
   readonly clock: clock.Clock;
   readonly client: Pick<agentClient.AgentClient, "describe">;
   /**
@@ -18,13 +18,13 @@
   readonly retentionMs?: number;
 }
 
-export interface AgentClocks {
+export interface DescriptionCache {
   /** Describes the agent as of now from what is known of it. */
   find(address: string): frames.AgentDescription | undefined;
   /** Asks the agent. */
-  fetch(address: string): Promise<sessionTypes.Prepared>;
+  fetch(address: string): Promise<sessionTypes.PrepareOutcome>;
   /** Forgets an agent whose refusal shows that it has changed. */
-  forget(address: string): void;
+  invalidate(address: string): void;
 }
 
 interface Known {
@@ -36,7 +36,9 @@
 const maxKnown = 4_096;
 
 /** Creates an empty table of descriptions. */
-export function createAgentClocks(options: AgentClocksOptions): AgentClocks {
+export function createDescriptionCache(
+  options: DescriptionCacheOptions,
+): DescriptionCache {
   const retentionMs = options.retentionMs ?? defaultRetentionMs;
   const known = new Map<string, Known>();
 
@@ -65,6 +67,6 @@
       record(address, description);
       return { kind: "described", ...description };
     },
-    forget: (address) => void known.delete(address),
+    invalidate: (address) => void known.delete(address),
   };
 }
--- a/packages/anvilhinge/src/entry/session/event_cutter.ts
+++ b/packages/anvilhinge/src/entry/session/event_assembler.ts
@@ -5,19 +5,19 @@
  */
 import * as eventSplitter from "../../events/event_splitter.ts";
 
-export type CutOutcome =
+export type PushOutcome =
   /** Whole events that continue the answer; undefined while none is complete. */
   | { readonly kind: "events"; readonly data: Uint8Array | undefined }
   /** An event does not continue the answer. */
   | { readonly kind: "misplaced"; readonly message: string };
 
-export interface EventCutter {
+export interface EventAssembler {
   /** Forgets what an attempt that broke left of an event. */
   restart(): void;
   /** Takes bytes of the present attempt. */
-  push(data: Uint8Array): CutOutcome;
+  push(data: Uint8Array): PushOutcome;
   /** Whether the present attempt ended inside an event. */
-  hasRest(): boolean;
+  hasIncompleteEvent(): boolean;
   /** Id of the last event that was delivered, or that the caller has. */
   getLastId(): string | undefined;
 }
@@ -40,11 +40,11 @@
 }
 
 /** Creates a cutter for an answer that begins behind `resumeAfter`. */
-export function createEventCutter(resumeAfter?: string): EventCutter {
+export function createEventAssembler(resumeAfter?: string): EventAssembler {
   let splitter = eventSplitter.createEventSplitter();
   let lastId = resumeAfter;
 
-  function follow(data: Uint8Array): CutOutcome {
+  function follow(data: Uint8Array): PushOutcome {
     let followedId = lastId;
     for (const id of listIds(data)) {
       if (!isNext(id, followedId)) {
@@ -67,7 +67,7 @@
         ? { kind: "events", data: undefined }
         : follow(events);
     },
-    hasRest: () => splitter.flush() !== undefined,
+    hasIncompleteEvent: () => splitter.flush() !== undefined,
     getLastId: () => lastId,
   };
 }
--- a/packages/anvilhinge/src/entry/session/inquiry.ts
+++ b/packages/anvilhinge/src/entry/session/outcome_lookup.ts
@@ -9,7 +9,7 @@
 import * as answerBuffer from "./answer_buffer.ts";
 import type * as claimStore from "./claim_store.ts";
 
-export interface InquiryOptions {
+export interface OutcomeLookupOptions {
   readonly claims: claimStore.ClaimStore;
   readonly client: agentClient.AgentClient;
   readonly scheduler: scheduler.Scheduler;
@@ -18,7 +18,7 @@
 }
 
 /** What became of a call. */
-export type InquiryAnswer =
+export type CallOutcome =
   /** No call of this name is on record, or its record is past retention. */
   | { readonly kind: "missing" }
   | { readonly kind: "running" }
@@ -29,7 +29,7 @@
   | { readonly kind: "unavailable"; readonly message: string };
 
 /** Asks for the outcome of one call. */
-export type AskOutcome = (name: claims.ClaimName) => Promise<InquiryAnswer>;
+export type FindOutcome = (name: claims.ClaimName) => Promise<CallOutcome>;
 
 /** Age below which an entry is taken to be at work on a claim. */
 const freshClaimMs = 2_000;
@@ -41,7 +41,9 @@
   | { readonly kind: "unknown"; readonly message: string };
 
 /** Creates the function that asks. */
-export function createInquiry(options: InquiryOptions): AskOutcome {
+export function createOutcomeLookup(
+  options: OutcomeLookupOptions,
+): FindOutcome {
   function settle(
     claim: claims.Claim,
     state: Exclude<claims.ClaimState, { readonly kind: "claimed" }>,
@@ -102,7 +104,7 @@
     });
   }
 
-  async function fetchOutcome(claim: claims.Claim): Promise<InquiryAnswer> {
+  async function fetchOutcome(claim: claims.Claim): Promise<CallOutcome> {
     const { upstream } = claim;
     const outcome = await options.client.seal(claim, upstream.address);
     switch (outcome) {
@@ -126,7 +128,7 @@
     }
   }
 
-  async function readFinished(claim: claims.Claim): Promise<InquiryAnswer> {
+  async function readFinished(claim: claims.Claim): Promise<CallOutcome> {
     const followed = await followFinished(claim);
     switch (followed.kind) {
       case "finished":
--- a/packages/anvilhinge/src/entry/session/runner.ts
+++ b/packages/anvilhinge/src/entry/session/runner.ts
@@ -3,7 +3,7 @@
 import type * as frames from "../../ports/frames.ts";
 import type * as scheduler from "../../ports/scheduler.ts";
 import type * as agentClient from "./agent_client.ts";
-import type * as agentClocks from "./agent_clocks.ts";
+import type * as descriptionCache from "./description_cache.ts";
 import type * as claimStore from "./claim_store.ts";
 import type * as session from "./session.ts";
 import * as sessionTimers from "./session_timers.ts";
@@ -26,8 +26,8 @@
 export type SessionClient = Omit<agentClient.AgentClient, "describe">;
 
 /** What only sessions before agents need. */
-export interface AgentParts {
-  readonly clocks: agentClocks.AgentClocks;
+export interface AgentDependencies {
+  readonly descriptions: descriptionCache.DescriptionCache;
   readonly claims: claimStore.ClaimStore;
 }
 
@@ -36,7 +36,7 @@
   readonly session: session.Session;
   readonly client: SessionClient;
   /** Undefined where no agents stand before the upstreams. */
-  readonly agents?: AgentParts;
+  readonly agents?: AgentDependencies;
   readonly scheduler: scheduler.Scheduler;
   readonly sink: AnswerSink;
   /** Aborts when the caller has gone. */
@@ -50,7 +50,7 @@
   ) => void;
   readonly onDrop?: () => void;
   /** Takes the function by which decisions on a waiting session come in. */
-  readonly onFeed?: (feed: (event: session.SessionEvent) => void) => void;
+  readonly onFeedReady?: (feed: (event: session.SessionEvent) => void) => void;
 }
 
 type Effect<Kind extends session.SessionEffect["kind"]> = Extract<
@@ -67,7 +67,7 @@
   const events: session.SessionEvent[] = [];
   let isFeeding = false;
 
-  function requireAgents(): AgentParts {
+  function requireAgents(): AgentDependencies {
     if (options.agents !== undefined) return options.agents;
     throw new Error("A session without agents asked for one");
   }
@@ -114,7 +114,7 @@
         onFrame(frame) {
           if (abort.signal.aborted) return;
           if (isOutdated(frame)) {
-            options.agents?.clocks.forget(upstream.address);
+            options.agents?.descriptions.invalidate(upstream.address);
           }
           feed({ kind: "frame", frame });
         },
@@ -135,7 +135,7 @@
     async function prepare(
       { attemptId, upstream }: Effect<"prepare">,
     ): Promise<void> {
-      const { clocks } = requireAgents();
+      const { descriptions: clocks } = requireAgents();
       // What must not run twice asks the agent itself, so that a claim names
       // the incarnation of this moment.
       const known = request.isRepeatable
@@ -234,7 +234,7 @@
       () => feed({ kind: "caller_gone" }),
       { once: true },
     );
-    options.onFeed?.(feed);
+    options.onFeedReady?.(feed);
     feed({ kind: "arrived" });
   });
 }
--- a/packages/anvilhinge/src/entry/session/session.ts
+++ b/packages/anvilhinge/src/entry/session/session.ts
@@ -21,14 +21,20 @@
   options: types.SessionOptions,
 ): types.Session {
   const core = sessionCore.createSessionCore(request, options);
-  const { shared, buffer, maxAttempts, observe, raiseRan } = core;
-  const { finish, finishNotRun, finishUnknown, startAttempt, sendResume } =
+  const { shared, buffer, maxAttempts, observe, raiseRunStatus: raiseRan } =
     core;
-  const { beginAttempt } = core;
+  const {
+    finish,
+    finishNotRun,
+    finishUnknown,
+    startNextAttempt: startAttempt,
+    sendResume,
+  } = core;
+  const { startAttemptAt: beginAttempt } = core;
   const { handlePrepared, handleClaimAnswer, handleFound } = sessionClaims
-    .createClaimSteps(core);
+    .createClaimHandlers(core);
   const { handleFrame, handleLost, handleStall, handleSealAnswer } =
-    sessionFrames.createFrameSteps(core);
+    sessionFrames.createFrameHandlers(core);
 
   function startFirst(): Effects {
     const point = options.resumePoint;
--- a/packages/anvilhinge/src/entry/session/session_claims.ts
+++ b/packages/anvilhinge/src/entry/session/session_claims.ts
@@ -6,10 +6,10 @@
 
 type Effects = sessionCore.Effects;
 
-export interface ClaimSteps {
+export interface ClaimHandlers {
   handlePrepared(
     state: attemptState.AttemptState,
-    outcome: types.Prepared,
+    outcome: types.PrepareOutcome,
   ): Effects;
   handleClaimAnswer(
     state: attemptState.AttemptState,
@@ -24,13 +24,15 @@
 const claimRetryMs = 1_000;
 
 /** Creates the steps on the core of a session. */
-export function createClaimSteps(core: sessionCore.SessionCore): ClaimSteps {
+export function createClaimHandlers(
+  core: sessionCore.SessionCore,
+): ClaimHandlers {
   const { request, options, shared, observe, dispatch } = core;
   const { finish, finishNotRun, finishUnknown, retryNotRun, sendSeal } = core;
 
   function handlePrepared(
     state: attemptState.AttemptState,
-    outcome: types.Prepared,
+    outcome: types.PrepareOutcome,
   ): Effects {
     if (outcome.kind === "unreachable") {
       const reason = `Upstream ${state.upstream.id} can't be reached`;
@@ -43,7 +45,7 @@
     return [{
       kind: "claim",
       claim: attemptState.buildClaim(request, state),
-      replaces: shared.unrunAttemptId,
+      replaces: shared.notRunAttemptId,
     }];
   }
 
@@ -59,7 +61,7 @@
       case "other_body":
         return [...unclaimed, ...finish({ kind: "other_body" })];
       case "full":
-        shared.isNameClear = true;
+        shared.hasNoEarlierRun = true;
         return [
           ...unclaimed,
           ...finishNotRun("Too many calls are on record", claimRetryMs),
@@ -83,7 +85,7 @@
 
   function failUnrecorded(): Effects {
     const reason = "The call could not be put on record";
-    return shared.isNameClear
+    return shared.hasNoEarlierRun
       ? finishNotRun(reason, claimRetryMs)
       : finishUnknown(
         `${reason}; an earlier sending may have run`,
@@ -98,7 +100,7 @@
       case "finished":
         return deliverRecorded(claim, state.answer);
       case "not_run":
-        shared.isNameClear = true;
+        shared.hasNoEarlierRun = true;
         return finishNotRun("Another entry settled this request", claimRetryMs);
       case "claimed": {
         const ageMs = options.readWallMs() - claim.changedAtMs;
@@ -133,14 +135,14 @@
     shared.pendingNotRun = undefined;
     // Another entry that sealed the attempt too would have replaced it.
     const isOwn = result.kind === "exists" &&
-      result.claim.attemptId === shared.unrunAttemptId &&
+      result.claim.attemptId === shared.notRunAttemptId &&
       result.claim.state.kind === "claimed";
     if (result.kind === "exists" && !isOwn) return handleEarlier(result.claim);
     if (result.kind !== "missing" && !isOwn) {
       const message = `${notRun.reason}; an earlier sending may have run`;
       return finishUnknown(message, notRun.retryAfterMs);
     }
-    shared.isNameClear = true;
+    shared.hasNoEarlierRun = true;
     return finishNotRun(notRun.reason, notRun.retryAfterMs);
   }
 
--- a/packages/anvilhinge/src/entry/session/session_core.ts
+++ b/packages/anvilhinge/src/entry/session/session_core.ts
@@ -5,7 +5,7 @@
 import type * as engine from "../../ports/engine.ts";
 import * as answerBuffer from "./answer_buffer.ts";
 import * as attemptState from "./attempt_state.ts";
-import * as eventCutter from "./event_cutter.ts";
+import * as eventAssembler from "./event_assembler.ts";
 import type * as types from "./session_types.ts";
 
 export type Effects = types.SessionEffect[];
@@ -24,13 +24,13 @@
   attempts: number;
   current: attemptState.AttemptState | undefined;
   /** Claimed attempt of which a proof says that it never runs. */
-  unrunAttemptId: string | undefined;
+  notRunAttemptId: string | undefined;
   /** True when no other sending of this request ran so far. */
-  isNameClear: boolean;
+  hasNoEarlierRun: boolean;
   /** What is said when the claims know of no earlier sending. */
   pendingNotRun: NotRun | undefined;
   /** Whether any earlier attempt of this request ran. */
-  ran: types.Ran;
+  ran: types.RunStatus;
   /** True while no place at an upstream is granted. */
   isWaiting: boolean;
   isDone: boolean;
@@ -42,11 +42,11 @@
   readonly shared: SharedState;
   readonly buffer: answerBuffer.AnswerBuffer;
   /** Cuts the answer into events; undefined for other deliveries. */
-  readonly cutter: eventCutter.EventCutter | undefined;
+  readonly eventAssembler: eventAssembler.EventAssembler | undefined;
   readonly recorder: answerBuffer.AnswerRecorder;
   readonly maxAttempts: number;
   /** Raises what is known of the effects of earlier attempts. */
-  raiseRan(found: types.Ran): void;
+  raiseRunStatus(found: types.RunStatus): void;
   finish(final: types.FinalAnswer): Effects;
   /** Finishes a request of which the last attempt did not run. */
   finishNotRun(reason: string, retryAfterMs: number): Effects;
@@ -57,10 +57,10 @@
     outcome: Observation,
     report?: { readonly load?: engine.EngineLoad },
   ): Effects;
-  watchStall(): types.SessionEffect;
-  startAttempt(): Effects;
+  resetStallTimer(): types.SessionEffect;
+  startNextAttempt(): Effects;
   /** Begins an attempt at a chosen upstream. */
-  beginAttempt(upstream: types.Upstream): Effects;
+  startAttemptAt(upstream: types.Upstream): Effects;
   /** Sends an attempt that needs nothing more. */
   dispatch(state: attemptState.AttemptState): Effects;
   /** Goes on after an attempt that surely did not run. */
@@ -76,7 +76,7 @@
    * Starts another attempt in the place of one that is silent; undefined, and
    * nothing changed, if there is none to start.
    */
-  retrySilent(state: attemptState.AttemptState): Effects | undefined;
+  retryStalled(state: attemptState.AttemptState): Effects | undefined;
   sendResume(state: attemptState.AttemptState): Effects;
   sendSeal(state: attemptState.AttemptState): Effects;
 }
@@ -101,21 +101,21 @@
   });
   const recorder = answerBuffer.createAnswerRecorder();
   const cutter = request.delivery === "events"
-    ? eventCutter.createEventCutter(request.resumeAfter)
+    ? eventAssembler.createEventAssembler(request.resumeAfter)
     : undefined;
   const tried = new Set<string>();
   const shared: SharedState = {
     attempts: 0,
     current: undefined,
-    unrunAttemptId: undefined,
-    isNameClear: request.isRepeatable || !request.isNamed,
+    notRunAttemptId: undefined,
+    hasNoEarlierRun: request.isRepeatable || !request.isNamed,
     pendingNotRun: undefined,
     ran: "no",
     isWaiting: false,
     isDone: false,
   };
 
-  function raiseRan(found: types.Ran): void {
+  function raiseRan(found: types.RunStatus): void {
     if (found === "yes" || shared.ran === "no") shared.ran = found;
   }
 
@@ -131,15 +131,15 @@
       return finish({ kind: "failed", message: reason, ran: shared.ran });
     }
     shared.current = undefined;
-    if (!shared.isNameClear) {
+    if (!shared.hasNoEarlierRun) {
       shared.pendingNotRun = { reason, retryAfterMs };
       return [{ kind: "find" }];
     }
-    const isClaimed = shared.unrunAttemptId !== undefined &&
+    const isClaimed = shared.notRunAttemptId !== undefined &&
       options.gate !== "none";
     const settled: Effects = !isClaimed ? [] : [{
       kind: "settle",
-      attemptId: shared.unrunAttemptId ?? "",
+      attemptId: shared.notRunAttemptId ?? "",
       state: { kind: "not_run" },
     }];
     return [...settled, ...finish({ kind: "not_run", reason, retryAfterMs })];
@@ -171,7 +171,7 @@
     return followChoice(options.chooseUpstream(tried));
   }
 
-  function followChoice(choice: types.Choice): Effects {
+  function followChoice(choice: types.UpstreamChoice): Effects {
     switch (choice.kind) {
       case "none":
         return finishNotRun(choice.reason, choice.retryAfterMs);
@@ -275,22 +275,22 @@
     options,
     shared,
     buffer,
-    cutter,
+    eventAssembler: cutter,
     recorder,
     maxAttempts,
-    raiseRan,
+    raiseRunStatus: raiseRan,
     finish,
     finishNotRun,
     finishUnknown,
     observe,
-    watchStall,
-    startAttempt,
-    beginAttempt,
+    resetStallTimer: watchStall,
+    startNextAttempt: startAttempt,
+    startAttemptAt: beginAttempt,
     dispatch,
     retryNotRun,
     retryUnsent,
     retryUncertain,
-    retrySilent,
+    retryStalled: retrySilent,
     sendResume,
     sendSeal,
   };
--- a/packages/anvilhinge/src/entry/session/session_frames.ts
+++ b/packages/anvilhinge/src/entry/session/session_frames.ts
@@ -10,7 +10,7 @@
   { readonly kind: Kind }
 >;
 
-export interface FrameSteps {
+export interface FrameHandlers {
   handleFrame(frame: frames.Frame): Effects;
   handleLost(
     state: attemptState.AttemptState,
@@ -19,7 +19,7 @@
   handleStall(): Effects;
   handleSealAnswer(
     state: attemptState.AttemptState,
-    outcome: types.SealAnswer,
+    outcome: types.SealResult,
   ): Effects;
 }
 
@@ -31,10 +31,24 @@
 }
 
 /** Creates the steps on the core of a session. */
-export function createFrameSteps(core: sessionCore.SessionCore): FrameSteps {
-  const { request, options, shared, buffer, recorder, cutter } = core;
-  const { observe, watchStall, finishUnknown, sendResume, sendSeal } = core;
-  const { retryNotRun, retryUnsent, retryUncertain, retrySilent } = core;
+export function createFrameHandlers(
+  core: sessionCore.SessionCore,
+): FrameHandlers {
+  const { request, options, shared, buffer, recorder, eventAssembler: cutter } =
+    core;
+  const {
+    observe,
+    resetStallTimer: watchStall,
+    finishUnknown,
+    sendResume,
+    sendSeal,
+  } = core;
+  const {
+    retryNotRun,
+    retryUnsent,
+    retryUncertain,
+    retryStalled: retrySilent,
+  } = core;
   const maxResumes = options.maxResumes ?? defaultMaxResumes;
 
   /** Goes on after the stream of frames broke off or fell silent. */
@@ -71,7 +85,7 @@
     if (event.sent || state.isStarted) {
       return handleBroken(state, event.message);
     }
-    shared.unrunAttemptId = state.attemptId;
+    shared.notRunAttemptId = state.attemptId;
     return [...observe(state, "lost"), ...retryUnsent(event.message)];
   }
 
@@ -108,7 +122,8 @@
       return [{ kind: "drop", frame }];
     }
     if (
-      frame.sequence > state.nextSequence || !attemptState.isInPlace(frame)
+      frame.sequence > state.nextSequence ||
+      !attemptState.isValidPosition(frame)
     ) {
       const dropped: types.SessionEffect = { kind: "drop", frame };
       if (state.phase === "sealing") return [dropped];
@@ -187,9 +202,9 @@
       return [...failed, ...retryUncertain(state, message)];
     }
     if (!hasTries || !options.takeRetry()) return complete(state, failed);
-    core.raiseRan("yes");
+    core.raiseRunStatus("yes");
     shared.current = undefined;
-    return [...failed, ...core.startAttempt()];
+    return [...failed, ...core.startNextAttempt()];
   }
 
   function handleEnd(
@@ -198,7 +213,7 @@
   ): Effects {
     if (options.gate === "none") {
       if (isFailure(state.status)) return handleFailure(state, body);
-      if (cutter?.hasRest()) {
+      if (cutter?.hasIncompleteEvent()) {
         return handleBroken(state, "The answer ended inside an event");
       }
     }
@@ -236,18 +251,18 @@
     if (body.reason === "wrong_incarnation") {
       return [...observed, ...retryUncertain(state, reason)];
     }
-    shared.unrunAttemptId = state.attemptId;
+    shared.notRunAttemptId = state.attemptId;
     return [...observed, ...retryNotRun(reason, body.retryAfterMs)];
   }
 
   function handleSealAnswer(
     state: attemptState.AttemptState,
-    outcome: types.SealAnswer,
+    outcome: types.SealResult,
   ): Effects {
     const { upstream, attemptId } = state;
     switch (outcome) {
       case "sealed":
-        shared.unrunAttemptId = attemptId;
+        shared.notRunAttemptId = attemptId;
         return [
           ...observe(state, "lost"),
           ...retryNotRun(`Upstream ${upstream.id} did not start it`, 0),
--- a/packages/anvilhinge/src/entry/session/session_types.ts
+++ b/packages/anvilhinge/src/entry/session/session_types.ts
@@ -16,7 +16,7 @@
   readonly epoch: number;
 }
 
-export type Choice =
+export type UpstreamChoice =
   | { readonly kind: "chosen"; readonly upstream: Upstream }
   /** All upstreams are busy; a `granted` or `denied` event follows. */
   | { readonly kind: "wait" }
@@ -72,7 +72,7 @@
   readonly readWallMs: () => number;
   readonly createAttemptId: () => string;
   /** Chooses an upstream that is not in `tried`, if there is one. */
-  readonly chooseUpstream: (tried: ReadonlySet<string>) => Choice;
+  readonly chooseUpstream: (tried: ReadonlySet<string>) => UpstreamChoice;
   /** Takes one retry from the budget; false when the budget is used up. */
   readonly takeRetry: () => boolean;
   /**
@@ -102,19 +102,19 @@
 }
 
 /** What is known of the agent before an attempt is sent to it. */
-export type Prepared =
+export type PrepareOutcome =
   | (frames.AgentDescription & { readonly kind: "described" })
   /** Nothing of the attempt was sent. */
   | { readonly kind: "unreachable" };
 
-export type SealAnswer = frames.SealOutcome | "unreachable";
+export type SealResult = frames.SealOutcome | "unreachable";
 
 export type SessionEvent =
   | { readonly kind: "arrived" }
   | {
     readonly kind: "prepared";
     readonly attemptId: string;
-    readonly outcome: Prepared;
+    readonly outcome: PrepareOutcome;
   }
   /** A place was found for a session that waits. */
   | { readonly kind: "granted"; readonly upstream: Upstream }
@@ -141,7 +141,7 @@
   | {
     readonly kind: "seal_answered";
     readonly attemptId: string;
-    readonly outcome: SealAnswer;
+    readonly outcome: SealResult;
   }
   | { readonly kind: "timer"; readonly name: TimerName }
   | { readonly kind: "caller_gone" };
@@ -149,7 +149,7 @@
 export type TimerName = "deadline" | "stall";
 
 /** Whether a request had any effect. */
-export type Ran = "no" | "yes" | "unknown";
+export type RunStatus = "no" | "yes" | "unknown";
 
 /** The last word to a caller whose answer could not be completed. */
 export type FinalAnswer =
@@ -163,7 +163,7 @@
   | {
     readonly kind: "failed";
     readonly message: string;
-    readonly ran: Ran;
+    readonly ran: RunStatus;
   }
   /** Whether the request ran is not known; ask later with the request id. */
   | {
@@ -174,7 +174,7 @@
   | {
     readonly kind: "deadline_exceeded";
     readonly message: string;
-    readonly ran: Ran;
+    readonly ran: RunStatus;
   }
   /** The request's id or key was used for another body; nothing ran now. */
   | { readonly kind: "other_body" }
--- a/packages/anvilhinge/src/matrix/entry_node.ts
+++ b/packages/anvilhinge/src/matrix/entry_node.ts
@@ -1,9 +1,9 @@
 /** An entry of the matrix: the real session, runner and claims on fakes. */
 import * as random from "@anvilhinge/coordination/random";
 import type * as agentClient from "../entry/session/agent_client.ts";
-import * as agentClocks from "../entry/session/agent_clocks.ts";
+import * as descriptionCache from "../entry/session/description_cache.ts";
 import * as claimStore from "../entry/session/claim_store.ts";
-import * as inquiry from "../entry/session/inquiry.ts";
+import * as outcomeLookup from "../entry/session/outcome_lookup.ts";
 import * as runner from "../entry/session/runner.ts";
 import * as session from "../entry/session/session.ts";
 import type * as objectStore from "../ports/object_store.ts";
@@ -47,7 +47,7 @@
   readonly id: string;
   isUp(): boolean;
   runCall(request: session.Request, options: RunCallOptions): void;
-  readonly ask: inquiry.AskOutcome;
+  readonly ask: outcomeLookup.FindOutcome;
   pause(durationMs: number): void;
   kill(): void;
   /** Called when the process dies. */
@@ -178,7 +178,10 @@
     half: "association",
   });
   const claims = variant.wrapClaims?.(plainClaims) ?? plainClaims;
-  const clocks = agentClocks.createAgentClocks({ clock: world, client });
+  const clocks = descriptionCache.createDescriptionCache({
+    clock: world,
+    client,
+  });
 
   function runCall(
     request: session.Request,
@@ -196,7 +199,7 @@
       request,
       session: variant.wrapSession?.(plain) ?? plain,
       client,
-      agents: { clocks, claims },
+      agents: { descriptions: clocks, claims },
       scheduler: own,
       sink,
       callerSignal: signal,
@@ -210,7 +213,7 @@
     id: options.id,
     isUp: () => isUp,
     runCall: (request, call) => execute(() => runCall(request, call)),
-    ask: inquiry.createInquiry({
+    ask: outcomeLookup.createOutcomeLookup({
       claims,
       client,
       scheduler: own,
--- a/packages/anvilhinge/src/matrix/world.ts
+++ b/packages/anvilhinge/src/matrix/world.ts
@@ -4,7 +4,7 @@
  * a record of all that took effect and all that was said.
  */
 import type * as session from "../entry/session/session.ts";
-import type * as inquiry from "../entry/session/inquiry.ts";
+import type * as outcomeLookup from "../entry/session/outcome_lookup.ts";
 import * as faults from "../stand_ins/faults.ts";
 import * as localObjectStore from "../stand_ins/local_object_store.ts";
 import * as objectApi from "../stand_ins/object_api.ts";
@@ -54,7 +54,7 @@
   readonly effects: readonly agentNode.Start[];
   readonly sends: readonly caller.Send[];
   /** Present when the call must not run twice. */
-  readonly inquiry?: inquiry.InquiryAnswer;
+  readonly inquiry?: outcomeLookup.CallOutcome;
   /** When the first upstream learnt that it leaves its half. */
   readonly leavingAtMs?: number;
 }
@@ -123,7 +123,7 @@
     })
   );
 
-  function chooseUpstream(tried: ReadonlySet<string>): session.Choice {
+  function chooseUpstream(tried: ReadonlySet<string>): session.UpstreamChoice {
     const agent = agents.find(({ upstream }) => !tried.has(upstream.id));
     return agent === undefined
       ? { kind: "none", reason: "All were tried", retryAfterMs: 1_000 }
@@ -209,7 +209,7 @@
 function requestOutcome(
   entries: readonly entryNode.EntryNode[],
   running: caller.RunningCaller,
-): Promise<inquiry.InquiryAnswer> | undefined {
+): Promise<outcomeLookup.CallOutcome> | undefined {
   const last = entries.at(-1);
   return last?.ask({ workspace: caller.workspace, requestId: running.callId });
 }
--- a/packages/coordination/bench/fake_cluster.ts
+++ b/packages/coordination/bench/fake_cluster.ts
@@ -245,7 +245,7 @@
       case "list_store":
         return listStore(node, {
           failures: 0,
-          isOnlyConfirming: effect.isOnlyConfirming,
+          isOnlyConfirming: effect.isReadinessCheck,
         });
       case "set_watching":
         return effect.isWatching ? startWatch(node) : stopWatch(node);
--- a/packages/coordination/bench/leases.ts
+++ b/packages/coordination/bench/leases.ts
@@ -45,7 +45,7 @@
     const members = () =>
       entries.filter((other) => other.half === entry.half && !other.isGone);
     const place = places.get(name) ??
-      bundle.rankCandidate(members(), { key, id: entry.id });
+      bundle.computeCandidateIndex(members(), { key, id: entry.id });
     places.set(name, place);
     return place;
   }
@@ -80,7 +80,7 @@
 ): Entry | undefined {
   return cluster.entries.find((entry) =>
     entry.half === half && !entry.node.isDead() &&
-    entry.leases[number]?.getHeld() !== undefined
+    entry.leases[number]?.getHeldFencingNumber() !== undefined
   );
 }
 
--- a/packages/coordination/bench/maps/policies.ts
+++ b/packages/coordination/bench/maps/policies.ts
@@ -43,7 +43,7 @@
 /** Runs a policy; counts reach it one interval late and noisy. */
 export function runPolicy(policy: PolicyName, options: RunOptions): Run {
   const { shape, trace } = options;
-  const estimate = popularity.createPopularity(shape);
+  const estimate = popularity.createPopularityEstimator(shape);
   const totals = trace[0]!.shares.map((row) => row.map(() => 0));
   const speedOf = trace.map(({ speeds }) => speeds);
   const skews: number[] = [];
@@ -69,7 +69,9 @@
     const next = pending === undefined && interval >= warmUpIntervals
       ? choosePolicyMap(policy, { ...options, map, speeds, interval, estimate })
       : undefined;
-    const loads = next === undefined ? 0 : layerLoad.countLoads(map, next);
+    const loads = next === undefined
+      ? 0
+      : layerLoad.countExpertLoads(map, next);
     if (next !== undefined && loads > 0) {
       const atMs = nowMs + loads * expertBytes / bytesPerMs;
       pending = { map: next, atMs };
@@ -84,7 +86,7 @@
   readonly map: expertMap.ExpertMap;
   readonly speeds: readonly number[];
   readonly interval: number;
-  readonly estimate: popularity.Popularity;
+  readonly estimate: popularity.PopularityEstimator;
 }
 
 function choosePolicyMap(
--- a/packages/coordination/bench/retry_model.ts
+++ b/packages/coordination/bench/retry_model.ts
@@ -65,7 +65,7 @@
     random: source,
     nodeId: "n0",
     location: { failureDomain: "d0", region: "r0" },
-    minSubset: upstreamCount,
+    minSubsetSize: upstreamCount,
     ...(options.usesHealth
       ? {
         isAvailable: checked.isAvailable,
--- a/packages/coordination/src/admission.ts
+++ b/packages/coordination/src/admission.ts
@@ -28,7 +28,7 @@
    * Share of the time left that wait and work may be expected to take.
    * @default 0.9
    */
-  readonly safety?: number;
+  readonly safetyFactor?: number;
 }
 
 export interface Admission {
@@ -50,7 +50,7 @@
 /** Creates an admission that knows no rate yet and admits everything. */
 export function createAdmission(options: AdmissionOptions): Admission {
   const { clock } = options;
-  const safety = options.safety ?? defaultSafety;
+  const safety = options.safetyFactor ?? defaultSafety;
   const openByPriority: number[] = [];
   const startedAtMs = clock.now();
   let ends = 0;
--- a/packages/coordination/src/admission_test.ts
+++ b/packages/coordination/src/admission_test.ts
@@ -6,7 +6,7 @@
   const tested = admission.createAdmission({
     clock: manual,
     readLoad: () => ({ running: 4, queued }),
-    safety: 1,
+    safetyFactor: 1,
   });
   // One end every 100 ms.
   for (let end = 0; end < 200; end += 1) {
--- a/packages/coordination/src/ambiguous_write.ts
+++ b/packages/coordination/src/ambiguous_write.ts
@@ -8,7 +8,7 @@
  */
 
 /** One change that an object remembers. */
-export interface RememberedChange {
+export interface RecordedChange {
   readonly changeId: string;
   /** Version of the object before the change; 0 = it did not exist. */
   readonly previousVersion: number;
@@ -17,14 +17,14 @@
 }
 
 /** An object as it was read. */
-export interface PresentObject {
+export interface ObjectHistory {
   /** 0 = the object does not exist. */
   readonly version: number;
   /** The latest first. */
-  readonly changes: readonly RememberedChange[];
+  readonly changes: readonly RecordedChange[];
 }
 
-export interface LostWrite {
+export interface AmbiguousWrite {
   readonly changeId: string;
   /** Condition of the write; undefined when the asker doesn't know it. */
   readonly ifVersion?: number;
@@ -41,7 +41,7 @@
   | { readonly kind: "unknown"; readonly message: string };
 
 export type SettlementEvent =
-  | { readonly kind: "read"; readonly present: PresentObject }
+  | { readonly kind: "read"; readonly present: ObjectHistory }
   | { readonly kind: "fenced"; readonly version: number }
   /** Somebody else changed the object first. */
   | { readonly kind: "fence_conflict" }
@@ -58,7 +58,7 @@
   | { readonly kind: "fence"; readonly ifVersion: number }
   | { readonly kind: "settled"; readonly settlement: Settlement };
 
-export interface SettlementProcess {
+export interface SettlementMachine {
   handle(event: SettlementEvent): SettlementEffect;
 }
 
@@ -69,7 +69,7 @@
  * predecessor, the latest has the object's own.
  */
 export function findAcceptedVersion(
-  present: PresentObject,
+  present: ObjectHistory,
   changeId: string,
 ): number | undefined {
   const index = present.changes.findIndex((change) =>
@@ -84,13 +84,16 @@
 }
 
 /** Returns whether all changes since the version are remembered. */
-function isComplete(present: PresentObject, sinceVersion: number): boolean {
+function isComplete(present: ObjectHistory, sinceVersion: number): boolean {
   const oldest = present.changes.at(-1);
   if (oldest === undefined) return present.version === sinceVersion;
   return oldest.previousVersion <= sinceVersion;
 }
 
-function decide(present: PresentObject, lost: LostWrite): SettlementEffect {
+function decide(
+  present: ObjectHistory,
+  lost: AmbiguousWrite,
+): SettlementEffect {
   const version = findAcceptedVersion(present, lost.changeId);
   if (version !== undefined) return settle({ kind: "accepted", version });
   const isFenced = present.changes.some((change) =>
@@ -112,7 +115,7 @@
 }
 
 /** Creates the settlement of one lost write; begin with a read. */
-export function createSettlement(lost: LostWrite): SettlementProcess {
+export function createSettlement(lost: AmbiguousWrite): SettlementMachine {
   const maxFences = lost.maxFences ?? defaultMaxFences;
   let fences = 0;
 
--- a/packages/coordination/src/assignment.ts
+++ b/packages/coordination/src/assignment.ts
@@ -26,7 +26,7 @@
   | { readonly kind: "wrong_epoch" };
 
 /** What the sender of work believes about the group's ownership. */
-export interface OwnershipClaim {
+export interface OwnershipView {
   readonly half: string;
   readonly epoch: number;
 }
@@ -34,7 +34,7 @@
 /** Decides whether work sent under `claim` may start under `assignment`. */
 export function checkAdmission(
   assignment: Assignment | undefined,
-  claim: OwnershipClaim,
+  claim: OwnershipView,
 ): Admission {
   if (assignment === undefined) return { kind: "not_yet_owned" };
   if (assignment.state === "leaving") {
--- a/packages/coordination/src/bundle.ts
+++ b/packages/coordination/src/bundle.ts
@@ -15,7 +15,7 @@
  * Returns the place of `id` among the candidates for a lease, from 0. A node
  * that the members lack, for example because their list lags, counts as one.
  */
-export function rankCandidate(
+export function computeCandidateIndex(
   members: readonly rendezvous.Member[],
   options: { readonly key: string; readonly id: string },
 ): number {
--- a/packages/coordination/src/choice.ts
+++ b/packages/coordination/src/choice.ts
@@ -86,12 +86,12 @@
    * Upstreams of a need that the node uses at low load.
    * @default 16
    */
-  readonly minSubset?: number;
+  readonly minSubsetSize?: number;
   /**
    * Mean requests at an upstream above which the subset grows.
    * @default 12
    */
-  readonly widenLoad?: number;
+  readonly growThreshold?: number;
   /**
    * Age of a load report when it arrives, in milliseconds.
    * @default 100
@@ -305,8 +305,8 @@
         subset.orderMembers(members, options),
         {
           random,
-          minSize: options.minSubset ?? defaultMinSubset,
-          widenLoad: options.widenLoad ?? defaultWidenLoad,
+          minSize: options.minSubsetSize ?? defaultMinSubset,
+          growThreshold: options.growThreshold ?? defaultWidenLoad,
           previous: needs.get(need)?.pool,
         },
       );
--- a/packages/coordination/src/choice_test.ts
+++ b/packages/coordination/src/choice_test.ts
@@ -23,7 +23,7 @@
     random: random.createRandomSource(7),
     nodeId: "n1",
     location,
-    minSubset: 8,
+    minSubsetSize: 8,
     ...options,
   });
   return { chooser, manual };
@@ -69,7 +69,7 @@
   });
 
   test("grows under load and shrinks after it", () => {
-    const { chooser, manual } = createChooser({ widenLoad: 4 });
+    const { chooser, manual } = createChooser({ growThreshold: 4 });
     chooser.setPool("need", createMembers(64));
     const sent: string[] = [];
     for (let index = 0; index < 400; index += 1) {
--- a/packages/coordination/src/claim_committer.ts
+++ b/packages/coordination/src/claim_committer.ts
@@ -96,7 +96,7 @@
   /** Writes whose answer was lost. */
   unknowns: number;
   /** What the write on its way makes of the shard. */
-  applied?: claimShard.Applied;
+  applied?: claimShard.AppliedOperations;
 }
 
 const defaultWriteIntervalMs = 50;
@@ -173,7 +173,7 @@
 
   function finish(
     running: Flight,
-    applied: claimShard.Applied,
+    applied: claimShard.AppliedOperations,
   ): CommitterEffect[] {
     flight = undefined;
     const answers = running.batch.map(({ operationId }, index) => ({
--- a/packages/coordination/src/claim_shard.ts
+++ b/packages/coordination/src/claim_shard.ts
@@ -15,7 +15,7 @@
   readonly claimedRetentionMs: number;
 }
 
-export interface Applied {
+export interface AppliedOperations {
   readonly shard: ClaimShard;
   readonly results: readonly claims.ClaimResult[];
   /** False when the shard needs no write. */
@@ -45,7 +45,7 @@
   shard: ClaimShard,
   operations: readonly claims.ClaimOperation[],
   options: { readonly nowMs: number; readonly limits: ShardLimits },
-): Applied {
+): AppliedOperations {
   const { nowMs, limits } = options;
   const kept = shard.claims.filter((claim) => !isExpired(claim, options));
   const byName = new Map(kept.map((claim) => [formatName(claim), claim]));
--- a/packages/coordination/src/conditional_write.ts
+++ b/packages/coordination/src/conditional_write.ts
@@ -9,7 +9,7 @@
  */
 import type * as versionedStore from "./versioned_store.ts";
 
-export type SettledWrite =
+export type SettledOutcome =
   | { readonly kind: "accepted"; readonly version: number }
   /** Surely not written, and never will be. */
   | {
@@ -32,13 +32,13 @@
   | { readonly kind: "read" }
   /** Answer with `waited` after the delay. */
   | { readonly kind: "wait"; readonly delayMs: number }
-  | { readonly kind: "settled"; readonly outcome: SettledWrite };
+  | { readonly kind: "settled"; readonly outcome: SettledOutcome };
 
 export interface ConditionalWrite {
   handle(event: WriteEvent): WriteEffect;
 }
 
-export interface WriteOptions {
+export interface ConditionalWriteOptions {
   /** Version that the key must have. */
   readonly ifVersion: number;
   /** Whether a stored value is or follows the written one. */
@@ -57,14 +57,14 @@
 
 /** Creates the machine of one write. */
 export function createConditionalWrite(
-  options: WriteOptions,
+  options: ConditionalWriteOptions,
 ): ConditionalWrite {
   const maxReads = options.maxReads ?? defaultMaxReads;
   const delayMs = options.retryDelayMs ?? defaultRetryDelayMs;
   let isDoubtful = false;
   let failedReads = 0;
 
-  function settle(outcome: SettledWrite): WriteEffect {
+  function settle(outcome: SettledOutcome): WriteEffect {
     return { kind: "settled", outcome };
   }
 
@@ -120,7 +120,7 @@
   };
 }
 
-export interface DriveOptions extends WriteOptions {
+export interface WriteUntilSettledOptions extends ConditionalWriteOptions {
   readonly key: string;
   readonly value: unknown;
   readonly store: versionedStore.VersionedStore;
@@ -128,9 +128,9 @@
 }
 
 /** Writes the value and settles the outcome. */
-export async function writeSettled(
-  options: DriveOptions,
-): Promise<SettledWrite> {
+export async function writeUntilSettled(
+  options: WriteUntilSettledOptions,
+): Promise<SettledOutcome> {
   const { store, key, ifVersion } = options;
   const machine = createConditionalWrite(options);
   let effect = machine.handle({ kind: "start" });
--- a/packages/coordination/src/conditional_write_test.ts
+++ b/packages/coordination/src/conditional_write_test.ts
@@ -16,7 +16,7 @@
       ),
   };
   const write = (value: string, ifVersion: number) =>
-    conditionalWrite.writeSettled({
+    conditionalWrite.writeUntilSettled({
       key,
       value,
       ifVersion,
@@ -57,7 +57,7 @@
       expect(accepted.length).toBeLessThanOrEqual(1);
       if (a?.kind === "accepted") expect(winner).toBe("a");
       if (b?.kind === "accepted") expect(winner).toBe("b");
-      const isRefused = (outcome?: conditionalWrite.SettledWrite) =>
+      const isRefused = (outcome?: conditionalWrite.SettledOutcome) =>
         outcome?.kind === "conflict" || outcome?.kind === "unavailable";
       if (isRefused(a)) expect(winner).not.toBe("a");
       if (isRefused(b)) expect(winner).not.toBe("b");
--- a/packages/coordination/src/dispatch/work.ts
+++ b/packages/coordination/src/dispatch/work.ts
@@ -4,7 +4,7 @@
  */
 
 /** A request that waits for a place. */
-export interface WaitingWork {
+export interface WaitingRequest {
   /** Names the request among all of its entry. */
   readonly key: string;
   /** Service that it needs. */
@@ -26,7 +26,7 @@
 }
 
 /** A request that occupies a place. */
-export interface RunningWork {
+export interface RunningRequest {
   readonly key: string;
   readonly upstreamId: string;
   readonly workspace: string;
@@ -47,8 +47,8 @@
   readonly failureDomain: string;
   /** Rises with each state of one incarnation of the entry. */
   readonly sequence: number;
-  readonly waiting: readonly WaitingWork[];
-  readonly running: readonly RunningWork[];
+  readonly waiting: readonly WaitingRequest[];
+  readonly running: readonly RunningRequest[];
   readonly passes: readonly PassTime[];
 }
 
@@ -81,7 +81,7 @@
 }
 
 /** An upstream with places. */
-export interface PlaceSpec {
+export interface UpstreamSpec {
   readonly id: string;
   readonly pool: string;
   readonly failureDomain: string;
--- a/packages/coordination/src/dispatch/work_client.ts
+++ b/packages/coordination/src/dispatch/work_client.ts
@@ -19,7 +19,7 @@
    * milliseconds; three round trips and the time to send again.
    * @default 80
    */
-  readonly hubPatienceMs?: number;
+  readonly hubTimeoutMs?: number;
   /**
    * Longest wait for a place, in milliseconds.
    * @default 1500
@@ -28,7 +28,7 @@
 }
 
 /** What a request asks for; times are left, not instants. */
-export type NewWork = Omit<work.WaitingWork, "ageMs">;
+export type SlotRequest = Omit<work.WaitingRequest, "ageMs">;
 
 export type WorkEvent =
   | {
@@ -45,11 +45,11 @@
   };
 
 export interface WorkClient {
-  setPlaces(places: readonly work.PlaceSpec[]): void;
+  setUpstreams(places: readonly work.UpstreamSpec[]): void;
   /** Asks for a place; an event follows unless the request is dropped. */
-  ask(asked: NewWork): void;
+  requestSlot(asked: SlotRequest): void;
   /** Notes that a request occupies a place. */
-  start(running: work.RunningWork): void;
+  recordStart(running: work.RunningRequest): void;
   /** Records a pause between two events of a stream. */
   recordPause(pool: string, pauseMs: number): void;
   /** Drops a request, whether it waits or runs. */
@@ -64,7 +64,7 @@
 }
 
 interface Waiting {
-  readonly asked: NewWork;
+  readonly asked: SlotRequest;
   readonly askedAtMs: number;
   /** First state that told the hub of it; undefined before. */
   firstSequence: number | undefined;
@@ -80,13 +80,13 @@
 /** Creates the side of one entry. */
 export function createWorkClient(options: WorkClientOptions): WorkClient {
   const { clock } = options;
-  const hubPatienceMs = options.hubPatienceMs ?? defaultHubPatienceMs;
+  const hubPatienceMs = options.hubTimeoutMs ?? defaultHubPatienceMs;
   const maxWaitMs = options.maxWaitMs ?? defaultMaxWaitMs;
   const waiting = new Map<string, Waiting>();
-  const running = new Map<string, work.RunningWork>();
+  const running = new Map<string, work.RunningRequest>();
   /** Pauses of streams since the last state, by pool. */
   const pauses = new Map<string, number[]>();
-  let places: readonly work.PlaceSpec[] = [];
+  let places: readonly work.UpstreamSpec[] = [];
   let sequence = 0;
   let answeredAtMs = -Infinity;
 
@@ -106,11 +106,11 @@
   }
 
   /** The upstream at which this entry has least work. */
-  function choosePlace(asked: NewWork): work.PlaceSpec | undefined {
+  function choosePlace(asked: SlotRequest): work.UpstreamSpec | undefined {
     const usable = places.filter((place) =>
       place.pool === asked.pool && !asked.avoided.includes(place.id)
     );
-    let best: work.PlaceSpec | undefined;
+    let best: work.UpstreamSpec | undefined;
     let bestLoad = Infinity;
     for (const place of usable) {
       const own = [...running.values()]
@@ -169,10 +169,10 @@
   }
 
   return {
-    setPlaces(next) {
+    setUpstreams(next) {
       places = next;
     },
-    ask(asked) {
+    requestSlot(asked) {
       waiting.set(asked.key, {
         asked,
         askedAtMs: clock.now(),
@@ -180,7 +180,7 @@
         isKnownToHub: false,
       });
     },
-    start(work) {
+    recordStart(work) {
       waiting.delete(work.key);
       running.set(work.key, work);
     },
--- a/packages/coordination/src/dispatch/work_client_test.ts
+++ b/packages/coordination/src/dispatch/work_client_test.ts
@@ -13,12 +13,15 @@
     failureDomain: "a",
     countEntries: () => entries,
   });
-  client.setPlaces([
+  client.setUpstreams([
     { id: "u1", pool: "p", failureDomain: "a", slots },
     { id: "u2", pool: "p", failureDomain: "b", slots },
   ]);
-  function ask(key: string, options: Partial<workClient.NewWork> = {}): void {
-    client.ask({
+  function ask(
+    key: string,
+    options: Partial<workClient.SlotRequest> = {},
+  ): void {
+    client.requestSlot({
       key,
       pool: "p",
       priority: 1,
@@ -104,7 +107,12 @@
 
 test("refuses what got no place in time, with a time to come back", () => {
   const { client, manual, ask } = createSetup({ entries: 100 });
-  client.start({ key: "r", upstreamId: "u1", workspace: "w", promptTokens: 1 });
+  client.recordStart({
+    key: "r",
+    upstreamId: "u1",
+    workspace: "w",
+    promptTokens: 1,
+  });
   ask("short", { leftMs: 200 });
   ask("long");
   manual.advance(200);
@@ -118,7 +126,12 @@
 test("a request that left asks for nothing and frees its place", () => {
   const { client, ask } = createSetup();
   ask("k1");
-  client.start({ key: "r", upstreamId: "u1", workspace: "w", promptTokens: 1 });
+  client.recordStart({
+    key: "r",
+    upstreamId: "u1",
+    workspace: "w",
+    promptTokens: 1,
+  });
   client.drop("k1");
   client.drop("r");
   expect(client.buildState()).toMatchObject({ waiting: [], running: [] });
--- a/packages/coordination/src/dispatch/work_hub.ts
+++ b/packages/coordination/src/dispatch/work_hub.ts
@@ -33,12 +33,12 @@
    * Time for which an entry's last state holds, in milliseconds.
    * @default 1500
    */
-  readonly stateMs?: number;
+  readonly stateTtlMs?: number;
 }
 
 export interface WorkHub {
-  setPlaces(
-    places: readonly work.PlaceSpec[],
+  setUpstreams(
+    places: readonly work.UpstreamSpec[],
     specs?: readonly work.PoolSpec[],
   ): void;
   /**
@@ -65,7 +65,7 @@
   readonly passMs: number;
 }
 
-interface Waiting extends work.WaitingWork {
+interface Waiting extends work.WaitingRequest {
   readonly entryId: string;
   readonly arrivedAtMs: number;
   readonly aimAtMs: number;
@@ -91,7 +91,7 @@
 }
 
 interface Pool {
-  readonly places: work.PlaceSpec[];
+  readonly places: work.UpstreamSpec[];
   readonly spec: work.PoolSpec | undefined;
   /** Part of a pass that one request cost at worst, and when it was seen. */
   worstCostMs: number;
@@ -134,10 +134,10 @@
 export function createWorkHub(options: WorkHubOptions): WorkHub {
   const { clock } = options;
   const maxWaitMs = options.maxWaitMs ?? defaultMaxWaitMs;
-  const stateMs = options.stateMs ?? defaultStateMs;
+  const stateMs = options.stateTtlMs ?? defaultStateMs;
   const entries = new Map<string, Entry>();
   const pools = new Map<string, Pool>();
-  const placeById = new Map<string, work.PlaceSpec>();
+  const placeById = new Map<string, work.UpstreamSpec>();
   /** Requests and prompt tokens at each upstream. */
   const taken = new Map<string, { requests: number; tokens: number }>();
 
@@ -166,7 +166,7 @@
     }
   }
 
-  function countFree(place: work.PlaceSpec): number {
+  function countFree(place: work.UpstreamSpec): number {
     return place.slots - (taken.get(place.id)?.requests ?? 0);
   }
 
@@ -229,7 +229,7 @@
   }
 
   /** Load of a rank for the choice among those with free places. */
-  function weigh(place: work.PlaceSpec): number {
+  function weigh(place: work.UpstreamSpec): number {
     const load = taken.get(place.id);
     if (load === undefined) return 0;
     return load.requests + load.tokens / tokensPerRequest;
@@ -238,9 +238,9 @@
   function choosePlace(
     waiting: Waiting,
     pool: Pool,
-  ): work.PlaceSpec | undefined {
+  ): work.UpstreamSpec | undefined {
     const domain = entries.get(waiting.entryId)?.state.failureDomain;
-    let best: work.PlaceSpec | undefined;
+    let best: work.UpstreamSpec | undefined;
     let bestWeight = Infinity;
     for (const place of pool.places) {
       if (countFree(place) <= 0 || waiting.avoided.includes(place.id)) continue;
@@ -427,7 +427,7 @@
   }
 
   return {
-    setPlaces(places, specs = []) {
+    setUpstreams(places, specs = []) {
       placeById.clear();
       const before = new Map(pools);
       pools.clear();
--- a/packages/coordination/src/dispatch/work_hub_test.ts
+++ b/packages/coordination/src/dispatch/work_hub_test.ts
@@ -66,7 +66,7 @@
 function createHub() {
   const manual = clock.createManualClock();
   const hub = workHub.createWorkHub({ clock: manual, random: () => 0.5 });
-  hub.setPlaces([
+  hub.setUpstreams([
     { id: "u1", pool: "p", failureDomain: "a", slots: 1 },
     { id: "u2", pool: "p", failureDomain: "b", slots: 1 },
   ]);
@@ -75,8 +75,8 @@
 
 function createWaiting(
   key: string,
-  options: Partial<work.WaitingWork> = {},
-): work.WaitingWork {
+  options: Partial<work.WaitingRequest> = {},
+): work.WaitingRequest {
   return {
     key,
     pool: "p",
@@ -207,7 +207,7 @@
   function createTimedHub() {
     const manual = clock.createManualClock();
     const hub = workHub.createWorkHub({ clock: manual, random: () => 0.5 });
-    hub.setPlaces(
+    hub.setUpstreams(
       ["u1", "u2"].map((id) => ({
         id,
         pool: "p",
--- a/packages/coordination/src/fencing.ts
+++ b/packages/coordination/src/fencing.ts
@@ -117,7 +117,7 @@
  * Computes the one number that engines compare. The fencing numbers of the two
  * owners' leases are unrelated, so that the epoch must weigh more.
  */
-export function computeEngineNumber(floor: Floor): number {
+export function computeEngineFencingNumber(floor: Floor): number {
   const { epoch, fencingNumber } = floor;
   const composed = epoch * versionRange + fencingNumber;
   if (fencingNumber < versionRange && Number.isSafeInteger(composed)) {
--- a/packages/coordination/src/fencing_test.ts
+++ b/packages/coordination/src/fencing_test.ts
@@ -38,7 +38,7 @@
       delayMs: number,
       onAnswer: (outcome: fencing.ExecutionOutcome) => void,
     ): void {
-      const number = fencing.computeEngineNumber(term);
+      const number = fencing.computeEngineFencingNumber(term);
       time.schedule(() => {
         if (checksFencing && number < highest) {
           return onAnswer({ kind: "refused", message: "fenced" });
@@ -131,7 +131,7 @@
 
   /** Sends an order if the node believes that it holds the lease. */
   function order(index: number, delayMs: number): string | undefined {
-    const fencingNumber = leases[index]?.getHeld();
+    const fencingNumber = leases[index]?.getHeldFencingNumber();
     if (fencingNumber === undefined) return undefined;
     sequence += 1;
     const id = `order-${sequence}`;
@@ -151,7 +151,7 @@
     order,
     listHolders: () =>
       leases.flatMap((machine, index) =>
-        machine.getHeld() === undefined ? [] : [index]
+        machine.getHeldFencingNumber() === undefined ? [] : [index]
       ),
     resumeAll() {
       for (const node of nodes) node.resume();
@@ -321,11 +321,17 @@
 });
 
 test("an engine number weighs the epoch more than the fencing number", () => {
-  const older = fencing.computeEngineNumber({ epoch: 2, fencingNumber: 900 });
-  const newer = fencing.computeEngineNumber({ epoch: 3, fencingNumber: 4 });
+  const older = fencing.computeEngineFencingNumber({
+    epoch: 2,
+    fencingNumber: 900,
+  });
+  const newer = fencing.computeEngineFencingNumber({
+    epoch: 3,
+    fencingNumber: 4,
+  });
   expect(newer).toBeGreaterThan(older);
   expect(() =>
-    fencing.computeEngineNumber({ epoch: 2 ** 20, fencingNumber: 4 })
+    fencing.computeEngineFencingNumber({ epoch: 2 ** 20, fencingNumber: 4 })
   ).toThrow("exceeds the range");
 });
 
--- a/packages/coordination/src/gossip.ts
+++ b/packages/coordination/src/gossip.ts
@@ -7,10 +7,10 @@
 import * as membership from "./membership.ts";
 import type * as random from "./random.ts";
 import type * as settingsReplica from "./settings_replica.ts";
-import * as settingsSpread from "./settings_spread.ts";
+import * as settingsPropagation from "./settings_propagation.ts";
 
 type StoreEvent = Extract<
-  settingsSpread.SpreadEvent,
+  settingsPropagation.PropagationEvent,
   { readonly kind: "store_listed" | "store_changed" | "store_away" }
 >;
 
@@ -60,7 +60,10 @@
   }
   | { readonly kind: "ready" }
   /** List all prefixes of the store once, and retry until then. */
-  | Extract<settingsSpread.SpreadEffect, { readonly kind: "list_store" }>
+  | Extract<
+    settingsPropagation.PropagationEffect,
+    { readonly kind: "list_store" }
+  >
   /** Start or stop watching the store. */
   | { readonly kind: "set_watching"; readonly isWatching: boolean }
   /** These records of members are new here. */
@@ -69,7 +72,8 @@
     readonly changed: readonly membership.MemberRecord[];
   };
 
-export interface GossipOptions extends settingsSpread.SettingsSpreadOptions {
+export interface GossipOptions
+  extends settingsPropagation.SettingsPropagationOptions {
   readonly self: membership.Peer;
   readonly incarnation: number;
   readonly random: random.RandomSource;
@@ -109,7 +113,7 @@
 export function createGossipMember(options: GossipOptions): GossipMember {
   const limits = options.limits ?? gossipMessage.defaultLimits;
   const members = membership.createMembership(options);
-  const spread = settingsSpread.createSettingsSpread(options);
+  const spread = settingsPropagation.createSettingsPropagation(options);
   const selfId = options.self.id;
   /** Members whose records are to be pushed. */
   const pendingMembers = new Set<string>();
@@ -150,14 +154,14 @@
   }
 
   function schedulePush(): GossipEffect[] {
-    const hasPush = pendingMembers.size > 0 || spread.hasPush();
+    const hasPush = pendingMembers.size > 0 || spread.hasPendingPush();
     if (isPushScheduled || !hasPush) return [];
     isPushScheduled = true;
     return [{ kind: "schedule_push" }];
   }
 
   function updateWatching(): GossipEffect[] {
-    const isChosen = settingsSpread.isWatcher(
+    const isChosen = settingsPropagation.isWatcher(
       members.getSelf(),
       members.list(),
     );
@@ -189,7 +193,7 @@
     const ids = [...pendingMembers].slice(0, limits.members);
     for (const id of ids) pendingMembers.delete(id);
     const records = ids.flatMap((id) => members.find(id) ?? []);
-    const objects = spread.takePush();
+    const objects = spread.takePushBatch();
     return selectPushTargets().map((to): GossipSend => ({
       kind: "send",
       to,
@@ -200,7 +204,7 @@
   /** Chooses a peer that can confirm the view while the store is away. */
   function chooseConfirmer(): membership.MemberRecord | undefined {
     const peers = members.listPeers().filter((peer) =>
-      peer.state === "live" && !spread.hasConfirmed(peer.failureDomain)
+      peer.state === "live" && !spread.hasPeerConfirmation(peer.failureDomain)
     );
     return peers[Math.floor(options.random() * peers.length)];
   }
@@ -210,7 +214,7 @@
     lastTickMs = nowMs;
     if (gapMs < pauseThresholdMs) return;
     resumedAtMs = nowMs;
-    members.delayExpiry(gapMs);
+    members.extendDeadlines(gapMs);
   }
 
   function tick(nowMs: number): GossipEffect[] {
@@ -220,13 +224,13 @@
     effects.push(...updateWatching());
     // Watching lists the store anyway.
     if (tickCount === 1 && !isWatching) {
-      effects.push({ kind: "list_store", isOnlyConfirming: true });
+      effects.push({ kind: "list_store", isReadinessCheck: true });
     }
     const targets = [members.pickProbeTarget()];
     if (tickCount % removedProbeTicks === 0) {
       targets.push(members.pickRemovedTarget());
     }
-    if (spread.needsPeers()) targets.push(chooseConfirmer());
+    if (spread.needsPeerConfirmation()) targets.push(chooseConfirmer());
     for (const to of targets) {
       if (to !== undefined) effects.push(sendProbe(to, 0));
     }
@@ -243,7 +247,7 @@
   }
 
   function convertSpread(
-    effects: readonly settingsSpread.SpreadEffect[],
+    effects: readonly settingsPropagation.PropagationEffect[],
     from?: membership.MemberRecord,
   ): GossipEffect[] {
     return effects.flatMap((effect): GossipEffect[] => {
@@ -280,9 +284,13 @@
     const { request, to } = send;
     const effects = applyMembers(reply, nowMs);
     const wasCompared = request.digest !== undefined;
-    const spreadEffects = spread.handle({ kind: "reply", reply, wasCompared });
+    const spreadEffects = spread.handle({
+      kind: "reply",
+      reply,
+      isDigestReply: wasCompared,
+    });
     effects.push(...convertSpread(spreadEffects, reply.from));
-    const isCatchingUp = spread.needsPeers() && reply.isReady &&
+    const isCatchingUp = spread.needsPeerConfirmation() && reply.isReady &&
       reply.objects.length > 0;
     if (isCatchingUp) effects.push(sendProbe(to, 0));
     return effects;
@@ -313,7 +321,7 @@
         return push();
       case "instances_listed":
         return recordChanges(
-          members.applyList(
+          members.applyInstanceList(
             event.peers.filter((peer) => peer.id !== selfId),
             nowMs,
           ),
--- a/packages/coordination/src/health_test.ts
+++ b/packages/coordination/src/health_test.ts
@@ -156,13 +156,13 @@
       watch.recordProgress("u0");
       if (token < 5) watch.recordProgress("u1");
     }
-    expect(watch.expire()).toEqual([]);
+    expect(watch.detectStalled()).toEqual([]);
     for (let token = 0; token < 20; token += 1) {
       manual.advance(40);
       watch.recordProgress("u0");
     }
-    expect(watch.expire()).toEqual(["u1"]);
-    expect(watch.expire()).toEqual([]);
+    expect(watch.detectStalled()).toEqual(["u1"]);
+    expect(watch.detectStalled()).toEqual([]);
   });
 
   test("is not a queue: one attempt goes on while others wait", () => {
@@ -171,7 +171,7 @@
     for (let token = 0; token < 400; token += 1) {
       manual.advance(40);
       watch.recordProgress("u0");
-      expect(watch.expire()).toEqual([]);
+      expect(watch.detectStalled()).toEqual([]);
     }
   });
 
@@ -183,9 +183,9 @@
     watch.recordProgress("u0");
     expect(watch.getDeadlineMs("model")).toBe(2_400);
     manual.advance(2_200);
-    expect(watch.expire()).toEqual([]);
+    expect(watch.detectStalled()).toEqual([]);
     manual.advance(200);
-    expect(watch.expire()).toEqual(["u0"]);
+    expect(watch.detectStalled()).toEqual(["u0"]);
   });
 
   test("an upstream whose attempts ended is not watched", () => {
@@ -193,11 +193,11 @@
     watch.start("u0", "model");
     watch.start("u0", "model");
     watch.end("u0");
-    expect(watch.countOpen()).toBe(1);
+    expect(watch.countWatched()).toBe(1);
     watch.end("u0");
     manual.advance(60_000);
-    expect(watch.expire()).toEqual([]);
-    expect(watch.countOpen()).toBe(0);
+    expect(watch.detectStalled()).toEqual([]);
+    expect(watch.countWatched()).toBe(0);
   });
 
   test("ejects the upstream at once", () => {
--- a/packages/coordination/src/lease.ts
+++ b/packages/coordination/src/lease.ts
@@ -32,7 +32,7 @@
   /** Where others reach this node while it holds the lease. */
   readonly address: string;
   /** Returns the place of this node among the candidates; 0 = the first. */
-  readonly getPlace: () => number;
+  readonly getCandidateIndex: () => number;
   /** @default 4000 */
   readonly durationMs?: number;
   /** @default 500 */
@@ -76,7 +76,7 @@
 export interface Lease {
   handle(event: LeaseEvent): readonly LeaseEffect[];
   /** Returns the fencing number while the lease is held by the clock of now. */
-  getHeld(): number | undefined;
+  getHeldFencingNumber(): number | undefined;
 }
 
 interface Seen {
@@ -185,7 +185,7 @@
   }
 
   function computePollDelay(): number {
-    const place = options.getPlace();
+    const place = options.getCandidateIndex();
     if (place > maxLookingPlace) return Infinity;
     return pollIntervalMs * 2 ** Math.max(0, place - 1);
   }
@@ -195,7 +195,8 @@
     const { record, sinceMs } = present;
     const isFree = record === undefined || record.released;
     // The first candidate of a free lease goes ahead of the others.
-    const headStartMs = Math.min(options.getPlace(), 2) * pollIntervalMs / 2;
+    const headStartMs = Math.min(options.getCandidateIndex(), 2) *
+      pollIntervalMs / 2;
     return sinceMs + (isFree ? headStartMs : durationMs);
   }
 
@@ -210,7 +211,7 @@
     if (held !== undefined) return send(held.fencingNumber, false);
     const nowMs = options.clock.now();
     const delayMs = computePollDelay();
-    const takeoverMs = seen === undefined || options.getPlace() > 1
+    const takeoverMs = seen === undefined || options.getCandidateIndex() > 1
       ? Infinity
       : computeTakeoverMs(seen);
     const isDue = delayMs !== Infinity &&
@@ -310,7 +311,7 @@
       dispatch(event);
       return effects;
     },
-    getHeld() {
+    getHeldFencingNumber() {
       const isValid = held !== undefined &&
         options.clock.now() < held.validUntilMs;
       return isValid ? held?.fencingNumber : undefined;
--- a/packages/coordination/src/lease_test.ts
+++ b/packages/coordination/src/lease_test.ts
@@ -32,7 +32,9 @@
   );
   const listHolders = () =>
     leases.flatMap((machine, index) =>
-      machine.getHeld() === undefined || nodes[index]?.isDead() ? [] : [index]
+      machine.getHeldFencingNumber() === undefined || nodes[index]?.isDead()
+        ? []
+        : [index]
     );
   return { time, store, nodes, leases, started, listHolders };
 }
@@ -184,10 +186,13 @@
     (_, index) => ({ id: `e${index}` }),
   );
   const places = members.map(({ id }) =>
-    bundle.rankCandidate(members, { key, id })
+    bundle.computeCandidateIndex(members, { key, id })
   );
   expect([...places].sort((a, b) => a - b)).toEqual([...members.keys()]);
-  const absent = bundle.rankCandidate(members.slice(1), { key, id: "e0" });
+  const absent = bundle.computeCandidateIndex(members.slice(1), {
+    key,
+    id: "e0",
+  });
   expect(absent).toBe(places[0]);
   expect(bundle.selectBundle("drafting-1", 8)).toBeLessThan(8);
 });
--- a/packages/coordination/src/limits.ts
+++ b/packages/coordination/src/limits.ts
@@ -61,7 +61,7 @@
   setLimits(limits: Limits): void;
   /** Share of each kind that callers asked for since the last call. */
   takeDemand(): Shares;
-  countOpen(): number;
+  countInFlight(): number;
 }
 
 interface Bucket {
@@ -183,6 +183,6 @@
       demandSinceMs = clock.now();
       return { rates, concurrency };
     },
-    countOpen: () => open,
+    countInFlight: () => open,
   };
 }
--- a/packages/coordination/src/limits_test.ts
+++ b/packages/coordination/src/limits_test.ts
@@ -2,10 +2,10 @@
 import * as clock from "./clock.ts";
 import * as limits from "./limits.ts";
 import * as random from "./random.ts";
-import * as shareHolder from "./share_holder.ts";
-import * as shareTaker from "./share_taker.ts";
+import * as shareAllocator from "./share_allocator.ts";
+import * as shareClient from "./share_client.ts";
 
-const terms: shareHolder.ShareTerms = {
+const terms: shareAllocator.ShareLeaseOptions = {
   leaseMs: 2_000,
   fixedLeaseMs: 10_000,
   fixedShare: 0.04,
@@ -22,8 +22,8 @@
 
 interface Entry {
   readonly id: string;
-  readonly rates: shareTaker.ShareTaker;
-  readonly places: shareTaker.ShareTaker;
+  readonly rates: shareClient.ShareClient;
+  readonly places: shareClient.ShareClient;
   readonly limiter: limits.Limiter;
   readonly appetite: number;
   isAlive: boolean;
@@ -54,8 +54,8 @@
   let term = 0;
   let holders:
     | readonly [
-      shareHolder.ShareHolder,
-      shareHolder.ShareHolder,
+      shareAllocator.ShareAllocator,
+      shareAllocator.ShareAllocator,
     ]
     | undefined;
   let holderFromMs = 0;
@@ -73,8 +73,11 @@
       hasPredecessor: term > 1,
     };
     return [
-      shareHolder.createShareHolder(common),
-      shareHolder.createShareHolder({ ...common, holdMs: longestRequestMs }),
+      shareAllocator.createShareAllocator(common),
+      shareAllocator.createShareAllocator({
+        ...common,
+        drainMs: longestRequestMs,
+      }),
     ] as const;
   }
 
@@ -88,8 +91,8 @@
 
   function join(appetite: number): void {
     const options = { ...terms, clock: manual, entryId: `e${entries.length}` };
-    const rates = shareTaker.createShareTaker(options);
-    const places = shareTaker.createShareTaker(options);
+    const rates = shareClient.createShareClient(options);
+    const places = shareClient.createShareClient(options);
     const limiter = limits.createLimiter({
       clock: manual,
       limits: limit,
@@ -110,11 +113,11 @@
   }
 
   function sendAsks(entry: Entry): void {
-    const inUse = entry.limiter.countOpen() / limit.concurrency;
+    const inUse = entry.limiter.countInFlight() / limit.concurrency;
     const use = { demand: entry.appetite, inUse };
     const asks = [
-      entry.rates.ask({ ...use, inUse: 0 }),
-      entry.places.ask(use),
+      entry.rates.createRequest({ ...use, inUse: 0 }),
+      entry.places.createRequest(use),
     ] as const;
     if (entry.isCut) return;
     const takers = [entry.rates, entry.places] as const;
@@ -269,7 +272,7 @@
 
 test("a new holder renews shares at once and redistributes after a lease", () => {
   const manual = clock.createManualClock(5_000);
-  const holder = shareHolder.createShareHolder({
+  const holder = shareAllocator.createShareAllocator({
     ...terms,
     clock: manual,
     term: 2,
--- a/packages/coordination/src/load_estimate.ts
+++ b/packages/coordination/src/load_estimate.ts
@@ -44,7 +44,7 @@
   running: number;
   reportedAtMs: number;
   /** Instant that the last report describes. */
-  describedAtMs: number;
+  measuredAtMs: number;
   /** When the open attempts of this node were sent, the oldest first. */
   readonly openSentAtMs: number[];
   readonly ended: EndedAttempt[];
@@ -57,7 +57,7 @@
     queued: 0,
     running: 0,
     reportedAtMs: -Infinity,
-    describedAtMs: -Infinity,
+    measuredAtMs: -Infinity,
     openSentAtMs: [],
     ended: [],
   };
@@ -92,7 +92,7 @@
   const { nowMs, lagMs } = options;
   const sentAtMs = removeOpen(load, options.sentAtMs);
   if (sentAtMs === -Infinity) return;
-  if (sentAtMs <= load.describedAtMs) {
+  if (sentAtMs <= load.measuredAtMs) {
     load.reported = Math.max(0, load.reported - 1);
   }
   load.ended.push({ sentAtMs, endedAtMs: nowMs });
@@ -113,20 +113,20 @@
   load.queued = report.queued;
   load.running = report.running;
   load.reportedAtMs = options.nowMs;
-  load.describedAtMs = describedAtMs;
+  load.measuredAtMs = describedAtMs;
 }
 
 function countUncovered(load: Load): number {
   const open = load.openSentAtMs;
   let first = open.length;
-  while (first > 0 && (open[first - 1] as number) > load.describedAtMs) {
+  while (first > 0 && (open[first - 1] as number) > load.measuredAtMs) {
     first -= 1;
   }
   return open.length - first;
 }
 
 /** Returns how much of a value that was learnt `ageMs` ago is believed. */
-export function computeTrust(ageMs: number, halfLifeMs: number): number {
+export function computeDecay(ageMs: number, halfLifeMs: number): number {
   return ageMs <= 0 ? 1 : 0.5 ** (ageMs / halfLifeMs);
 }
 
@@ -136,7 +136,7 @@
   const uncovered = countUncovered(load);
   const covered = load.openSentAtMs.length - uncovered;
   const ageMs = options.nowMs - load.reportedAtMs;
-  const trust = computeTrust(ageMs, options.halfLifeMs);
+  const trust = computeDecay(ageMs, options.halfLifeMs);
   const believed = typicalLoad + (load.reported - typicalLoad) * trust;
   return Math.max(believed, covered) + uncovered;
 }
--- a/packages/coordination/src/maps/bounded_planner.ts
+++ b/packages/coordination/src/maps/bounded_planner.ts
@@ -26,7 +26,7 @@
   /** Experts that ranks must copy, over all ranks and layers. */
   readonly copies: number;
   /** Most experts that one rank must copy. */
-  readonly copiesOfSlowest: number;
+  readonly mostCopiesPerRank: number;
   /** Load of the most loaded rank over the mean, as a mean over layers. */
   readonly skewBefore: number;
   readonly skewAfter: number;
@@ -288,7 +288,7 @@
     return {
       map: { layers: this.#layers.map(({ ranks }) => ranks) },
       copies: this.#addedOfRank.reduce((sum, added) => sum + added, 0),
-      copiesOfSlowest: Math.max(0, ...this.#addedOfRank),
+      mostCopiesPerRank: Math.max(0, ...this.#addedOfRank),
       skewBefore,
       skewAfter: computeMeanSkew(this.#layers),
     };
--- a/packages/coordination/src/maps/bounded_planner_test.ts
+++ b/packages/coordination/src/maps/bounded_planner_test.ts
@@ -53,9 +53,9 @@
     const perRank = shape.failureDomains.map((_, rank) =>
       added.reduce((sum, ranks) => sum + ranks[rank]!, 0)
     );
-    expect(Math.max(...perRank)).toBe(plan.copiesOfSlowest);
-    expect(plan.copiesOfSlowest).toBeLessThanOrEqual(2);
-    expect(plan.copies).toBe(layerLoad.countLoads(map, plan.map));
+    expect(Math.max(...perRank)).toBe(plan.mostCopiesPerRank);
+    expect(plan.mostCopiesPerRank).toBeLessThanOrEqual(2);
+    expect(plan.copies).toBe(layerLoad.countExpertLoads(map, plan.map));
     const speeds = shape.failureDomains.map(() => 1);
     expect(layerLoad.computeSkew(plan.map, { shares, speeds }))
       .toBeCloseTo(plan.skewAfter, 6);
@@ -118,6 +118,6 @@
     maxNewPerRank: 3,
   });
   expect(expertMap.checkMap(plan.map, large)).toEqual({ kind: "feasible" });
-  expect(plan.copiesOfSlowest).toBeLessThanOrEqual(3);
+  expect(plan.mostCopiesPerRank).toBeLessThanOrEqual(3);
   expect(plan.skewAfter).toBeLessThan(plan.skewBefore / 2);
 });
--- a/packages/coordination/src/maps/counts_window.ts
+++ b/packages/coordination/src/maps/counts_window.ts
@@ -18,7 +18,7 @@
    * of the requests and more; sampling alone stays under 0.1.
    * @default 0.2
    */
-  readonly shiftDistance?: number;
+  readonly shiftThreshold?: number;
 }
 
 export interface CountsSample {
@@ -31,9 +31,9 @@
   /** Share of a layer's tokens by layer, then by expert. */
   readonly shares: readonly (readonly number[])[];
   /** Samples in a row that agree with it, the newest included. */
-  readonly agreeing: number;
+  readonly agreeingSamples: number;
   /** Counts of one layer in the newest sample. */
-  readonly newestPerLayer: number;
+  readonly newestCountPerLayer: number;
 }
 
 export interface CountsWindow {
@@ -61,7 +61,7 @@
 ): CountsWindow {
   const { layerCount, expertCount } = options;
   const halfLifeMs = options.halfLifeMs ?? defaultHalfLifeMs;
-  const shiftDistance = options.shiftDistance ?? defaultShiftDistance;
+  const shiftDistance = options.shiftThreshold ?? defaultShiftDistance;
   let last: CountsSample | undefined;
   let weights: number[] = [];
   let agreeing = 0;
@@ -126,7 +126,11 @@
         const total = sum(row);
         return row.map((value) => total > 0 ? value / total : 1 / expertCount);
       });
-      return { shares, agreeing, newestPerLayer };
+      return {
+        shares,
+        agreeingSamples: agreeing,
+        newestCountPerLayer: newestPerLayer,
+      };
     },
     reset,
   };
--- a/packages/coordination/src/maps/counts_window_test.ts
+++ b/packages/coordination/src/maps/counts_window_test.ts
@@ -45,7 +45,7 @@
   const { grow } = createSetup();
   grow([200, 200, 200, 200]);
   const found = grow([300, 200, 200, 100]);
-  expect(found?.agreeing).toBe(2);
+  expect(found?.agreeingSamples).toBe(2);
   const [first] = found!.shares[0]!;
   // Between the mean of both samples and the newest one.
   expect(first).toBeGreaterThan((0.25 + 0.375) / 2);
--- a/packages/coordination/src/maps/layer_load.ts
+++ b/packages/coordination/src/maps/layer_load.ts
@@ -12,7 +12,7 @@
 export interface Placement {
   readonly ranks: number[][];
   /** Replicas by expert. */
-  readonly counts: number[];
+  readonly replicaCounts: number[];
   /** Time by rank, in shares of the layer's tokens at normal speed. */
   readonly times: number[];
 }
@@ -30,16 +30,20 @@
       0,
     ) / load.speeds[rank]!
   );
-  return { ranks: ranks.map((experts) => [...experts]), counts, times };
+  return {
+    ranks: ranks.map((experts) => [...experts]),
+    replicaCounts: counts,
+    times,
+  };
 }
 
 /** Returns the time of the slowest rank. */
-export function getSlowest({ times }: Pick<Placement, "times">): number {
+export function getSlowestTime({ times }: Pick<Placement, "times">): number {
   return Math.max(...times);
 }
 
 /** Returns the least time that any placement could reach. */
-export function boundSlowest({ shares, speeds }: LayerLoad): number {
+export function computeTimeLowerBound({ shares, speeds }: LayerLoad): number {
   const total = shares.reduce((sum, share) => sum + share, 0);
   return total / speeds.reduce((sum, speed) => sum + speed, 0);
 }
@@ -64,7 +68,7 @@
 }
 
 /** Counts the experts that ranks must load to go from one map to another. */
-export function countLoads(
+export function countExpertLoads(
   from: expertMap.ExpertMap,
   to: expertMap.ExpertMap,
 ): number {
--- a/packages/coordination/src/maps/map_schedule.ts
+++ b/packages/coordination/src/maps/map_schedule.ts
@@ -44,7 +44,10 @@
 }
 
 /** Returns the map of one step. */
-export function getMapAt(schedule: MapSchedule, step: number): VersionedMap {
+export function getMapAtStep(
+  schedule: MapSchedule,
+  step: number,
+): VersionedMap {
   const { base, next } = schedule;
   return next !== undefined && step >= next.fromStep ? next : base;
 }
@@ -55,7 +58,7 @@
 }
 
 /** Holds the rank before `step` unless it has passed it. */
-export function pauseGate(
+export function holdBeforeStep(
   gate: StepGate,
   { step, nextStep }: { readonly step: number; readonly nextStep: number },
 ): HoldOutcome {
@@ -70,5 +73,5 @@
 ): VersionedMap | undefined {
   if (gate.schedule === undefined) return undefined;
   if (gate.holdStep !== undefined && step >= gate.holdStep) return undefined;
-  return getMapAt(gate.schedule, step);
+  return getMapAtStep(gate.schedule, step);
 }
--- a/packages/coordination/src/maps/map_versions.ts
+++ b/packages/coordination/src/maps/map_versions.ts
@@ -3,7 +3,7 @@
  * restart: the wall clock in the high digits, the leader's rank in the low ones.
  */
 
-export interface MapVersionsOptions {
+export interface MapVersionGeneratorOptions {
   /** Rank of the leader in its group. */
   readonly rank: number;
   /** Wall-clock time in milliseconds. */
@@ -17,8 +17,8 @@
 const rankSlots = 1_000;
 
 /** Creates the source of one leader's versions. */
-export function createMapVersions(
-  { rank, readWallMs }: MapVersionsOptions,
+export function createMapVersionGenerator(
+  { rank, readWallMs }: MapVersionGeneratorOptions,
 ): CreateMapVersion {
   let last = 0;
   return (known) => {
@@ -32,6 +32,6 @@
 }
 
 /** Returns the rank of the leader that created a version. */
-export function getLeader(version: number): number {
+export function getLeaderRank(version: number): number {
   return version % rankSlots;
 }
--- a/packages/coordination/src/maps/order_settler.ts
+++ b/packages/coordination/src/maps/order_settler.ts
@@ -7,15 +7,15 @@
  */
 import * as rankOrders from "./rank_orders.ts";
 
-export interface SettlerOptions {
+export interface OrderSettlerOptions {
   readonly order: rankOrders.RankOrder;
   /** Epoch in which the order is given. */
   readonly epoch: number;
   /** Sendings after which the order is given up. */
-  readonly maxSendings: number;
+  readonly maxSendAttempts: number;
 }
 
-export type SettlerEvent =
+export type OrderSettlerEvent =
   | { readonly kind: "state"; readonly state: rankOrders.RankState }
   | { readonly kind: "reply"; readonly reply: rankOrders.OrderReply }
   /** The rank's state can't be read. */
@@ -23,16 +23,16 @@
   /** The time for the order is over. */
   | { readonly kind: "deadline" };
 
-export type SettlerEffect =
+export type OrderSettlerEffect =
   /** Read the rank's state; `state` or `silent` follows. */
   | { readonly kind: "read"; readonly afterMs: number }
   /** Send the order; `reply` follows. */
   | { readonly kind: "send" }
   | { readonly kind: "finish"; readonly outcome: rankOrders.OrderOutcome };
 
-export interface Settler {
-  start(): readonly SettlerEffect[];
-  handle(event: SettlerEvent): readonly SettlerEffect[];
+export interface OrderSettler {
+  start(): readonly OrderSettlerEffect[];
+  handle(event: OrderSettlerEvent): readonly OrderSettlerEffect[];
 }
 
 /** Time between two looks at a rank that copies experts. */
@@ -40,7 +40,7 @@
 const retryReadMs = 10;
 
 /** Creates the machine for one order. */
-export function createSettler(options: SettlerOptions): Settler {
+export function createOrderSettler(options: OrderSettlerOptions): OrderSettler {
   const { order, epoch } = options;
   let sendings = 0;
   let isCopying = false;
@@ -48,13 +48,13 @@
 
   function finish(
     outcome: rankOrders.OrderOutcome,
-  ): readonly SettlerEffect[] {
+  ): readonly OrderSettlerEffect[] {
     isFinished = true;
     return [{ kind: "finish", outcome }];
   }
 
-  function send(): readonly SettlerEffect[] {
-    if (sendings >= options.maxSendings) {
+  function send(): readonly OrderSettlerEffect[] {
+    if (sendings >= options.maxSendAttempts) {
       const reason = "no sending took effect";
       return finish({ kind: "unsettled", reason });
     }
@@ -64,12 +64,12 @@
 
   function handleState(
     state: rankOrders.RankState,
-  ): readonly SettlerEffect[] {
+  ): readonly OrderSettlerEffect[] {
     if (state.epoch !== epoch || !state.isOpen) {
       const reason = "the group has another epoch or is broken";
       return finish({ kind: "impossible", state, reason });
     }
-    if (rankOrders.isDone(order, state)) {
+    if (rankOrders.isOrderSatisfied(order, state)) {
       return finish({ kind: "done", state, sendings });
     }
     if (isCopying) return [{ kind: "read", afterMs: copyPollMs }];
@@ -81,7 +81,7 @@
 
   function handleReply(
     reply: rankOrders.OrderReply,
-  ): readonly SettlerEffect[] {
+  ): readonly OrderSettlerEffect[] {
     if (reply !== "accepted") return [{ kind: "read", afterMs: 0 }];
     // The rank shows a prepared map only once it has copied it.
     if (order.kind === "prepare") {
--- a/packages/coordination/src/maps/planner.ts
+++ b/packages/coordination/src/maps/planner.ts
@@ -26,7 +26,7 @@
    * falls to 0 at weight 1.
    * @default 0.03
    */
-  readonly leastSaving?: number;
+  readonly minSaving?: number;
 }
 
 /** What is known when a plan is made. */
@@ -74,10 +74,10 @@
     planLayer(ranks, { input, options, shares: input.shares[layer]! })
   );
   const map = { layers };
-  const loads = layerLoad.countLoads(input.map, map);
+  const loads = layerLoad.countExpertLoads(input.map, map);
   if (loads === 0) return { kind: "stay", skewBefore: before };
   const after = layerLoad.computeSkew(map, input);
-  const least = (options.leastSaving ?? defaultLeastSaving) *
+  const least = (options.minSaving ?? defaultLeastSaving) *
     (1 - options.skewWeight);
   if (before - after <= least * before) {
     return { kind: "stay", skewBefore: before };
@@ -144,7 +144,7 @@
   placement: layerLoad.Placement,
   layer: LayerInput,
 ): Move | undefined {
-  const slowest = layerLoad.getSlowest(placement);
+  const slowest = layerLoad.getSlowestTime(placement);
   const source = placement.times.indexOf(slowest);
   const least = computeLeastSaving(layer, slowest);
   let best: Move | undefined;
@@ -164,7 +164,7 @@
   source: number,
   layer: LayerInput,
 ): Generator<Move> {
-  const { ranks, counts } = placement;
+  const { ranks, replicaCounts: counts } = placement;
   const { slotsPerRank, failureDomains } = layer.options.shape;
   for (const added of ranks[source]!) {
     for (let rank = 0; rank < ranks.length; rank += 1) {
@@ -197,7 +197,7 @@
 
 /** Computes the slowest time after a move without building the placement. */
 function estimateSlowest(
-  { ranks, counts, times }: layerLoad.Placement,
+  { ranks, replicaCounts: counts, times }: layerLoad.Placement,
   move: Omit<Move, "slowest" | "loads">,
   { input, shares }: LayerInput,
 ): number {
--- a/packages/coordination/src/maps/planner_test.ts
+++ b/packages/coordination/src/maps/planner_test.ts
@@ -83,7 +83,7 @@
 
   test.each([0.25, 0.75])("never moves on noise alone, weight %d", (weight) => {
     const draw = random.createRandomSource(seed);
-    const estimate = popularity.createPopularity(shape);
+    const estimate = popularity.createPopularityEstimator(shape);
     const tokens = Array.from({ length: 2 }, () => Array(8).fill(0));
     for (let round = 0; round < 200; round += 1) {
       for (let count = 0; count < 1_000; count += 1) {
@@ -106,7 +106,7 @@
 
 describe("popularity", () => {
   test("ignores doubled and late reports and survives a restart", () => {
-    const estimate = popularity.createPopularity({
+    const estimate = popularity.createPopularityEstimator({
       layerCount: 1,
       expertCount: 2,
     });
--- a/packages/coordination/src/maps/popularity.ts
+++ b/packages/coordination/src/maps/popularity.ts
@@ -20,7 +20,7 @@
   readonly tokens: readonly (readonly number[])[];
 }
 
-export interface PopularityOptions {
+export interface PopularityEstimatorOptions {
   readonly layerCount: number;
   readonly expertCount: number;
   /**
@@ -47,7 +47,7 @@
   readonly tokensPerLayer: number;
 }
 
-export interface Popularity {
+export interface PopularityEstimator {
   /** Takes a report; late and doubled ones have no effect. */
   observe(report: CountReport): void;
   /** Returns the estimate; even shares before the first counts. */
@@ -68,7 +68,9 @@
 const meanAbsoluteDeviation = Math.sqrt(2 / Math.PI);
 
 /** Creates an estimate without counts. */
-export function createPopularity(options: PopularityOptions): Popularity {
+export function createPopularityEstimator(
+  options: PopularityEstimatorOptions,
+): PopularityEstimator {
   const { layerCount, expertCount } = options;
   const halfLifeMs = options.halfLifeMs ?? defaultHalfLifeMs;
   const reporters = new Map<string, Reporter>();
--- a/packages/coordination/src/maps/rank_orders.ts
+++ b/packages/coordination/src/maps/rank_orders.ts
@@ -85,7 +85,7 @@
 }
 
 /** Whether the state that the order asks for holds. */
-export function isDone(order: RankOrder, state: RankState): boolean {
+export function isOrderSatisfied(order: RankOrder, state: RankState): boolean {
   switch (order.kind) {
     case "prepare":
       return state.preparedVersion === order.version ||
--- a/packages/coordination/src/maps/switch_round.ts
+++ b/packages/coordination/src/maps/switch_round.ts
@@ -33,7 +33,7 @@
    * Returns the passes between the present one and that of the switch, given
    * how often an order of this round had to be sent at most.
    */
-  readonly computeLead: (mostSendings: number) => number;
+  readonly computeLeadPasses: (mostSendings: number) => number;
   /**
    * Highest pass that this leader may have held, also before it restarted;
    * later ones must be above it. A process that does not know takes the first
@@ -45,7 +45,7 @@
    */
   readonly createVersion: (known: number) => number;
   /** Returns the rank of the leader that created a version. */
-  readonly getLeader: (version: number) => number;
+  readonly getLeaderRank: (version: number) => number;
 }
 
 export type RoundOutcome =
@@ -63,7 +63,7 @@
     readonly kind: "start";
     readonly layers: rankOrders.MapLayers;
     /** Map in force. */
-    readonly inForce: rankOrders.MapLayers;
+    readonly currentLayers: rankOrders.MapLayers;
     readonly states: readonly rankOrders.RankState[];
   }
   /** End a hold that was found at a rank. */
@@ -71,7 +71,7 @@
     readonly kind: "clear";
     readonly heldRank: number;
     readonly heldStep: number;
-    readonly inForce: rankOrders.MapLayers;
+    readonly currentLayers: rankOrders.MapLayers;
   }
   | {
     readonly kind: "state";
@@ -101,7 +101,7 @@
 
 export interface SwitchRound {
   handle(event: RoundEvent): readonly RoundEffect[];
-  isDone(): boolean;
+  isFinished(): boolean;
   /** Highest pass that this round tried to hold. */
   getHeldStep(): number;
   getPhase(): RoundPhase;
@@ -231,7 +231,7 @@
       );
     if (!isFree) return abort("A rank is not free");
     layers = event.layers;
-    inForce = event.inForce;
+    inForce = event.currentLayers;
     version = options.createVersion(getHighest());
     const order = { kind: "prepare", version, layers } as const;
     return orderRanks("preparing", ranks, () => order);
@@ -242,7 +242,7 @@
     const furthest = Math.max(
       ...[...states.values()].map((state) => state.step),
     );
-    const lead = options.computeLead(mostSendings) * holds;
+    const lead = options.computeLeadPasses(mostSendings) * holds;
     step = Math.max(furthest + lead, step + 1);
     if (step > furthest + maxAheadPasses) return abort("Few passes begin");
     const order = { kind: "hold", step } as const;
@@ -299,7 +299,7 @@
   /** Whether a rank makes the switch of the leader that holds the pass. */
   function isArmedHere({ armed }: rankOrders.RankState): boolean {
     return armed?.step === step &&
-      options.getLeader(armed.version) === leaderRank;
+      options.getLeaderRank(armed.version) === leaderRank;
   }
 
   /**
@@ -407,7 +407,7 @@
           if (phase !== "idle") return [];
           leaderRank = getHoldLeader(event.heldRank, rankCount);
           step = event.heldStep;
-          inForce = event.inForce;
+          inForce = event.currentLayers;
           return readAll();
         case "state":
           if (event.call !== call || !open.has(event.state.rank)) return [];
@@ -420,7 +420,7 @@
           return handleSilence(event.rank);
       }
     },
-    isDone: () => phase === "done",
+    isFinished: () => phase === "done",
     getPhase: () => phase,
     getHeldStep: () => leaderRank === ownRank ? step : 0,
   };
--- a/packages/coordination/src/membership.ts
+++ b/packages/coordination/src/membership.ts
@@ -53,7 +53,7 @@
   /** Members other than the node itself that messages may go to. */
   listPeers(): readonly MemberRecord[];
   /** Applies the instance list; returns what changed. */
-  applyList(
+  applyInstanceList(
     listed: readonly ListedPeer[],
     nowMs: number,
   ): readonly MemberRecord[];
@@ -67,7 +67,7 @@
   /** Removes members whose suspicion ran out; returns what changed. */
   expire(nowMs: number): readonly MemberRecord[];
   /** Puts all suspicions off, because this node itself was paused. */
-  delayExpiry(durationMs: number): void;
+  extendDeadlines(durationMs: number): void;
   leave(): readonly MemberRecord[];
   setWeight(weight: number): readonly MemberRecord[];
   /** Returns the member to probe next: each once in a random order. */
@@ -210,7 +210,7 @@
     list: () =>
       [...records.values()].filter((record) => record.state !== "removed"),
     listPeers,
-    applyList(listed, nowMs) {
+    applyInstanceList(listed, nowMs) {
       listedIds.clear();
       for (const peer of listed) listedIds.add(peer.id);
       return listed.flatMap((peer) => applyListed(peer, nowMs));
@@ -232,7 +232,7 @@
       const due = [...deadlines].filter(([, deadline]) => deadline <= nowMs);
       return due.flatMap(([id]) => expireOne(id, nowMs));
     },
-    delayExpiry(durationMs) {
+    extendDeadlines(durationMs) {
       for (const [id, deadline] of deadlines) {
         deadlines.set(id, deadline + durationMs);
       }
--- a/packages/coordination/src/membership_test.ts
+++ b/packages/coordination/src/membership_test.ts
@@ -60,10 +60,10 @@
 test("the instance list adds members but brings none back", () => {
   const members = createMembership();
   const listed = { ...createPeer("other"), state: "live" } as const;
-  expect(members.applyList([listed], 0)).toHaveLength(1);
+  expect(members.applyInstanceList([listed], 0)).toHaveLength(1);
   members.suspect("other", 0);
   members.expire(5_000);
-  expect(members.applyList([listed], 6_000)).toEqual([]);
+  expect(members.applyInstanceList([listed], 6_000)).toEqual([]);
   expect(members.listPeers()).toEqual([]);
   expect(members.pickRemovedTarget()?.id).toBe("other");
 });
@@ -81,7 +81,7 @@
   const members = createMembership();
   members.apply([createRecord("other", 1, "live")], 0);
   members.suspect("other", 0);
-  members.delayExpiry(4_000);
+  members.extendDeadlines(4_000);
   expect(members.expire(8_999)).toEqual([]);
   expect(members.expire(9_000)).toHaveLength(1);
 });
--- a/packages/coordination/src/progress_watch.ts
+++ b/packages/coordination/src/progress_watch.ts
@@ -35,8 +35,8 @@
   /** Deadline between two signs of progress, in milliseconds. */
   getDeadlineMs(need: string): number;
   /** Returns each upstream that is silent past its deadline, once a stall. */
-  expire(): readonly string[];
-  countOpen(): number;
+  detectStalled(): readonly string[];
+  countWatched(): number;
 }
 
 interface Watched {
@@ -114,7 +114,7 @@
       if (entry.open === 0) watched.delete(upstreamId);
     },
     getDeadlineMs,
-    expire() {
+    detectStalled() {
       const stalled: string[] = [];
       for (const [upstreamId, entry] of watched) {
         const silentMs = clock.now() - entry.progressAtMs;
@@ -125,6 +125,6 @@
       }
       return stalled;
     },
-    countOpen: () => watched.size,
+    countWatched: () => watched.size,
   };
 }
--- a/packages/coordination/src/retry_budget.ts
+++ b/packages/coordination/src/retry_budget.ts
@@ -26,7 +26,7 @@
    * Returns the part of `burst` and `minPerSecond` that this node may use, where
    * several share them. Default: all.
    */
-  readonly readPart?: () => number;
+  readonly readFraction?: () => number;
 }
 
 export interface RetryBudget {
@@ -47,7 +47,7 @@
   const share = options.share ?? defaultShare;
   const burst = options.burst ?? defaultBurst;
   const minPerSecond = options.minPerSecond ?? defaultMinPerSecond;
-  const readPart = options.readPart ?? (() => 1);
+  const readPart = options.readFraction ?? (() => 1);
   let tokens = burst * readPart();
   let filledAtMs = options.clock.now();
 
--- a/packages/coordination/src/roster.ts
+++ b/packages/coordination/src/roster.ts
@@ -59,10 +59,10 @@
 }
 
 /** News of the hub. */
-export interface ReceivedNews<News> {
+export interface ReceivedHubStatus<News> {
   readonly news: News;
   /** Instant of the own clock after which the news were true. */
-  readonly trueAfterMs: number;
+  readonly sampledAfterMs: number;
 }
 
 export interface RosterOptions<Details, News = undefined> {
@@ -74,11 +74,11 @@
    * Silence after which a member counts as gone, in milliseconds.
    * @default 800
    */
-  readonly silenceMs?: number;
+  readonly memberTimeoutMs?: number;
   /** Returns what the hub tells all members. */
-  readonly readNews?: () => News;
+  readonly readHubStatus?: () => News;
   /** Called with news of the hub. */
-  readonly onNews?: (received: ReceivedNews<News>) => void;
+  readonly onHubStatus?: (received: ReceivedHubStatus<News>) => void;
 }
 
 export interface Roster<Details, News = undefined> {
@@ -137,7 +137,7 @@
   type Message = RosterMessage<Details, News>;
   type Sends = readonly RosterSend<Details, News>[];
   const { clock } = options;
-  const silenceMs = options.silenceMs ?? defaultSilenceMs;
+  const silenceMs = options.memberTimeoutMs ?? defaultSilenceMs;
   const known = new Map<string, Known<Details>>();
   const seeds = new Set(options.seeds);
   let self: MemberInfo<Details> = { ...options.self, revision: 1 };
@@ -203,7 +203,7 @@
       kind: "roster",
       from: self,
       echo: receiver?.token,
-      news: options.readNews?.(),
+      news: options.readHubStatus?.(),
       members: isKnown ? undefined : listKnown().map(({ info, heardAtMs }) => ({
         info,
         heardAgoMs: Math.ceil(nowMs - heardAtMs),
@@ -274,7 +274,7 @@
       hub.id === message.from.id && helloAtMs !== undefined &&
       message.news !== undefined
     ) {
-      options.onNews?.({ news: message.news, trueAfterMs: helloAtMs });
+      options.onHubStatus?.({ news: message.news, sampledAfterMs: helloAtMs });
     }
     if (hub.id === hubBefore || hub.id === self.id) return [];
     return [{ to: hub.address, message: createHello() }];
--- a/packages/coordination/src/settings_spread.ts
+++ b/packages/coordination/src/settings_propagation.ts
@@ -11,11 +11,11 @@
 import * as settingsReplica from "./settings_replica.ts";
 
 /** What happens to the spreading of one node. */
-export type SpreadEvent =
+export type PropagationEvent =
   /** The complete content of a prefix was read from the store. */
   | {
     readonly kind: "store_listed";
-    readonly list: settingsReplica.CompleteList;
+    readonly list: settingsReplica.PrefixListing;
   }
   | {
     readonly kind: "store_changed";
@@ -27,11 +27,11 @@
     readonly kind: "reply";
     readonly reply: gossipMessage.GossipReply;
     /** Whether the reply answers a request that carried a digest. */
-    readonly wasCompared: boolean;
+    readonly isDigestReply: boolean;
   };
 
 /** What the node has to do. */
-export type SpreadEffect =
+export type PropagationEffect =
   /** Objects that came into force here, in this order. */
   | {
     readonly kind: "apply";
@@ -43,7 +43,7 @@
   | {
     readonly kind: "list_store";
     /** Retries may end when the view is confirmed otherwise. */
-    readonly isOnlyConfirming: boolean;
+    readonly isReadinessCheck: boolean;
   }
   /** Send these to the member that the event came from. */
   | {
@@ -58,26 +58,26 @@
   "objects" | "summaries" | "isEqual" | "floorVersion" | "isReady"
 >;
 
-export interface SettingsSpreadOptions {
+export interface SettingsPropagationOptions {
   /** Prefixes that the store must list before the view counts as confirmed. */
   readonly prefixes: readonly string[];
   readonly limits?: gossipMessage.MessageLimits;
   readonly tombstoneLimit?: number;
 }
 
-export interface SettingsSpread {
+export interface SettingsPropagation {
   readonly replica: settingsReplica.SettingsReplica;
-  handle(event: SpreadEvent): readonly SpreadEffect[];
+  handle(event: PropagationEvent): readonly PropagationEffect[];
   /** Builds the answer to a request that `handle` has taken. */
   buildReply(request: gossipMessage.GossipRequest): ObjectsReply;
   /** Takes the next new objects to push; bounded by the message limits. */
-  takePush(): readonly settingsReplica.ReplicatedObject[];
-  hasPush(): boolean;
+  takePushBatch(): readonly settingsReplica.ReplicatedObject[];
+  hasPendingPush(): boolean;
   isReady(): boolean;
   /** Whether peers have to confirm the view because the store is away. */
-  needsPeers(): boolean;
+  needsPeerConfirmation(): boolean;
   /** Whether peers of this failure domain have confirmed the view. */
-  hasConfirmed(failureDomain: string): boolean;
+  hasPeerConfirmation(failureDomain: string): boolean;
 }
 
 /** Members of one failure domain that watch the store. */
@@ -103,9 +103,9 @@
 }
 
 /** Creates the spreading of one node with an empty replica. */
-export function createSettingsSpread(
-  options: SettingsSpreadOptions,
-): SettingsSpread {
+export function createSettingsPropagation(
+  options: SettingsPropagationOptions,
+): SettingsPropagation {
   const limits = options.limits ?? gossipMessage.defaultLimits;
   const replica = settingsReplica.createSettingsReplica(options);
   const unlisted = new Set(options.prefixes);
@@ -120,7 +120,7 @@
   function apply(
     taken: readonly settingsReplica.ReplicatedObject[],
     isPushed = true,
-  ): SpreadEffect[] {
+  ): PropagationEffect[] {
     if (taken.length === 0) return [];
     for (const object of taken) {
       newestVersion = Math.max(newestVersion, object.version);
@@ -129,7 +129,7 @@
     return [{ kind: "apply", objects: taken }];
   }
 
-  function checkReady(): SpreadEffect[] {
+  function checkReady(): PropagationEffect[] {
     const isConfirmed = unlisted.size === 0 ||
       (isStoreAway && confirmed.size >= confirmingDomains);
     if (isReady || !isConfirmed) return [];
@@ -137,7 +137,7 @@
     return [{ kind: "ready" }];
   }
 
-  function applyList(list: settingsReplica.CompleteList): SpreadEffect[] {
+  function applyList(list: settingsReplica.PrefixListing): PropagationEffect[] {
     isStoreAway = false;
     unlisted.delete(list.prefix);
     // What a first list brings is known to others already; the digests that
@@ -147,17 +147,17 @@
   }
 
   /** Peers forgot removals that this node may have missed. */
-  function checkFloor(floorVersion: number): SpreadEffect[] {
+  function checkFloor(floorVersion: number): PropagationEffect[] {
     const hasMissedRemovals = isReady && floorVersion > newestVersion;
     return hasMissedRemovals
-      ? [{ kind: "list_store", isOnlyConfirming: false }]
+      ? [{ kind: "list_store", isReadinessCheck: false }]
       : [];
   }
 
   function handleReply(
     reply: gossipMessage.GossipReply,
     wasCompared: boolean,
-  ): SpreadEffect[] {
+  ): PropagationEffect[] {
     const isRepair = reply.objects.length <= repairPushLimit;
     const taken = replica.merge(reply.objects);
     const effects = apply(taken, isReady && isRepair);
@@ -196,7 +196,7 @@
           return [...effects, ...checkFloor(digest?.floorVersion ?? 0)];
         }
         case "reply":
-          return handleReply(event.reply, event.wasCompared);
+          return handleReply(event.reply, event.isDigestReply);
       }
     },
     buildReply({ digest, wanted }) {
@@ -214,16 +214,16 @@
         isReady,
       };
     },
-    takePush() {
+    takePushBatch() {
       const queued = [...pending].flatMap((key) => replica.get(key) ?? []);
       const taken = gossipMessage.limitObjects(queued, limits.objectBytes);
       if (taken.length === queued.length) pending.clear();
       for (const object of taken) pending.delete(object.key);
       return taken;
     },
-    hasPush: () => pending.size > 0,
+    hasPendingPush: () => pending.size > 0,
     isReady: () => isReady,
-    needsPeers: () => !isReady && isStoreAway,
-    hasConfirmed: (failureDomain) => confirmed.has(failureDomain),
+    needsPeerConfirmation: () => !isReady && isStoreAway,
+    hasPeerConfirmation: (failureDomain) => confirmed.has(failureDomain),
   };
 }
--- a/packages/coordination/src/settings_replica.ts
+++ b/packages/coordination/src/settings_replica.ts
@@ -43,7 +43,7 @@
 }
 
 /** What two replicas have to exchange to agree on the summarized ranges. */
-export interface Difference {
+export interface ReplicaDifference {
   /** Objects that the other replica lacks or has an older version of. */
   readonly offered: readonly ReplicatedObject[];
   /** Keys of which the other replica has a newer version. */
@@ -69,7 +69,7 @@
    * Takes the complete content of a prefix as the store had it at `version`;
    * known keys that are absent become tombstones. Returns what changed.
    */
-  mergeList(list: CompleteList): readonly ReplicatedObject[];
+  mergeList(list: PrefixListing): readonly ReplicatedObject[];
   get(key: string): ReplicatedObject | undefined;
   /** Objects that are present. */
   list(): readonly ReplicatedObject[];
@@ -81,11 +81,11 @@
   /** Summarizes ranges in order until `limit` objects; at least one range. */
   summarize(ranges: readonly number[], limit: number): RangeSummaries;
   /** Computes what the summaries of another replica differ in from this one. */
-  computeDifference(other: RangeSummaries): Difference;
+  computeDifference(other: RangeSummaries): ReplicaDifference;
 }
 
 /** Complete content of a prefix at one version of the store. */
-export interface CompleteList {
+export interface PrefixListing {
   readonly prefix: string;
   readonly objects: readonly ReplicatedObject[];
   readonly version: number;
@@ -175,7 +175,7 @@
     return taken;
   }
 
-  function listAbsent(list: CompleteList): readonly ReplicatedObject[] {
+  function listAbsent(list: PrefixListing): readonly ReplicatedObject[] {
     const listed = new Set(list.objects.map((object) => object.key));
     const absent: ReplicatedObject[] = [];
     for (const content of contents) {
--- a/packages/coordination/src/share_holder.ts
+++ b/packages/coordination/src/share_allocator.ts
@@ -9,7 +9,7 @@
 import type * as clock from "./clock.ts";
 
 /** What an entry sends to the holder, a few times within a lease. */
-export interface ShareAsk {
+export interface ShareRequest {
   /** Id of the entry's present run; differs after a restart. */
   readonly entryId: string;
   /** Rises with every ask of the entry. */
@@ -33,7 +33,7 @@
 }
 
 /** Times and sizes that the holder and all entries must agree on. */
-export interface ShareTerms {
+export interface ShareLeaseOptions {
   /** How long a granted share lasts after its ask was sent, in milliseconds. */
   readonly leaseMs: number;
   /** How long the fixed share lasts after an ask, in milliseconds. */
@@ -44,7 +44,7 @@
   readonly maxEntries: number;
 }
 
-export interface ShareHolderOptions extends ShareTerms {
+export interface ShareAllocatorOptions extends ShareLeaseOptions {
   readonly clock: clock.Clock;
   /** Fencing number of the duty; rises with every change of the holder. */
   readonly term: number;
@@ -63,12 +63,12 @@
    * milliseconds; 0 for limits on rates.
    * @default 0
    */
-  readonly holdMs?: number;
+  readonly drainMs?: number;
 }
 
-export interface ShareHolder {
+export interface ShareAllocator {
   /** Answers an ask; undefined when it is older than one already answered. */
-  answer(ask: ShareAsk): ShareGrant | undefined;
+  answer(ask: ShareRequest): ShareGrant | undefined;
   /** Sum of what all entries may believe; never passes 1. */
   sumReserved(): number;
 }
@@ -99,13 +99,15 @@
  * grants no more than entries show that they hold, and for the first fixed
  * lease it reserves the fixed shares of entries that it has not heard from.
  */
-export function createShareHolder(options: ShareHolderOptions): ShareHolder {
+export function createShareAllocator(
+  options: ShareAllocatorOptions,
+): ShareAllocator {
   const { clock, leaseMs, fixedLeaseMs, maxEntries } = options;
   if (maxEntries * options.fixedShare > 1) {
     throw new RangeError("The fixed shares of all entries together pass 1");
   }
   const marginMs = (options.marginMs ?? defaultMarginMs) +
-    (options.holdMs ?? 0);
+    (options.drainMs ?? 0);
   const startedAtMs = clock.now();
   const hasPredecessor = options.hasPredecessor ?? true;
   const holdings = new Map<string, Holding>();
@@ -165,7 +167,7 @@
     return options.fixedShare + Math.max(0, 1 - fixed) * weight;
   }
 
-  function getHolding(ask: ShareAsk): Holding {
+  function getHolding(ask: ShareRequest): Holding {
     const known = holdings.get(ask.entryId);
     if (known !== undefined) return known;
     const created: Holding = {
@@ -182,7 +184,7 @@
   }
 
   /** Drops the grants that the entry has replaced by a later one. */
-  function acknowledge(holding: Holding, ask: ShareAsk): void {
+  function acknowledge(holding: Holding, ask: ShareRequest): void {
     if (ask.adopted.term !== options.term) return;
     holding.hasAcknowledged = true;
     holding.reservations = holding.reservations.filter((reservation) =>
@@ -190,7 +192,7 @@
     );
   }
 
-  function record(holding: Holding, ask: ShareAsk, share: number): void {
+  function record(holding: Holding, ask: ShareRequest, share: number): void {
     const nowMs = clock.now();
     const shown = Math.max(ask.held, ask.inUse);
     const untilMs = nowMs + leaseMs + marginMs;
@@ -212,7 +214,7 @@
     return taken.length < maxEntries;
   }
 
-  function computeGrant(own: Holding, ask: ShareAsk): number {
+  function computeGrant(own: Holding, ask: ShareRequest): number {
     const others = sumOthers(own);
     if (!hasFixedPlace(own)) return 0;
     if (isRecovering()) return Math.max(0, Math.min(ask.held, 1 - others));
--- a/packages/coordination/src/share_taker.ts
+++ b/packages/coordination/src/share_client.ts
@@ -3,11 +3,11 @@
  * order, and measures each lease from before its ask was sent.
  */
 import type * as clock from "./clock.ts";
-import type * as shareHolder from "./share_holder.ts";
+import type * as shareAllocator from "./share_allocator.ts";
 
-export interface ShareTakerOptions extends
+export interface ShareClientOptions extends
   Pick<
-    shareHolder.ShareTerms,
+    shareAllocator.ShareLeaseOptions,
     "leaseMs" | "fixedLeaseMs" | "fixedShare"
   > {
   readonly clock: clock.Clock;
@@ -20,16 +20,16 @@
   readonly inUse: number;
 }
 
-export interface ShareTaker {
+export interface ShareClient {
   /** Builds the next ask; it must be sent at once or not at all. */
-  ask(use: ShareUse): shareHolder.ShareAsk;
+  createRequest(use: ShareUse): shareAllocator.ShareRequest;
   /** Adopts a grant unless a later one is in force. */
-  receive(grant: shareHolder.ShareGrant): void;
+  receive(grant: shareAllocator.ShareGrant): void;
   /** Returns the share in force now, from 0 to 1. */
   getShare(): number;
 }
 
-interface Adopted extends shareHolder.ShareGrant {
+interface Adopted extends shareAllocator.ShareGrant {
   readonly untilMs: number;
   readonly fixedUntilMs: number;
 }
@@ -37,7 +37,7 @@
 const maxAsks = 64;
 
 /** Creates a taker that has no share. */
-export function createShareTaker(options: ShareTakerOptions): ShareTaker {
+export function createShareClient(options: ShareClientOptions): ShareClient {
   const { clock, leaseMs, fixedLeaseMs, fixedShare } = options;
   const askedAtMs = new Map<number, number>();
   let sequence = 0;
@@ -56,13 +56,13 @@
     return Math.min(adopted.share, fixedShare);
   }
 
-  function isLater(grant: shareHolder.ShareGrant): boolean {
+  function isLater(grant: shareAllocator.ShareGrant): boolean {
     return grant.term > adopted.term ||
       (grant.term === adopted.term && grant.sequence > adopted.sequence);
   }
 
   return {
-    ask({ demand, inUse }) {
+    createRequest({ demand, inUse }) {
       sequence += 1;
       askedAtMs.set(sequence, clock.now());
       askedAtMs.delete(sequence - maxAsks);
--- a/packages/coordination/src/step_times.ts
+++ b/packages/coordination/src/step_times.ts
@@ -44,7 +44,7 @@
     const step = steps.get(group);
     if (step === undefined) return meanUs || unknownStepUs;
     const ageMs = options.clock.now() - step.atMs;
-    const trust = loadEstimate.computeTrust(ageMs, halfLifeMs);
+    const trust = loadEstimate.computeDecay(ageMs, halfLifeMs);
     return meanUs + (step.stepUs - meanUs) * trust;
   }
 
--- a/packages/coordination/src/testing/dispatch_world.ts
+++ b/packages/coordination/src/testing/dispatch_world.ts
@@ -66,7 +66,7 @@
   const draw = random.createRandomSource(options.seed);
   const manual = clock.createManualClock();
   const hub = workHub.createWorkHub({ clock: manual, random: draw });
-  const places: readonly work.PlaceSpec[] = Array.from(
+  const places: readonly work.UpstreamSpec[] = Array.from(
     { length: options.rankCount },
     (_, rank) => ({
       id: `r${rank}`,
@@ -91,7 +91,7 @@
     slowestRefusalMs: 0,
   };
   let keys = 0;
-  hub.setPlaces(places);
+  hub.setUpstreams(places);
 
   function schedule(delayMs: number, run: () => void): void {
     events.push({ atMs: manual.now() + delayMs, run });
--- a/packages/coordination/src/testing/lease_node.ts
+++ b/packages/coordination/src/testing/lease_node.ts
@@ -25,7 +25,7 @@
     createId: () => `${options.id}-${nextId++}`,
     holder: options.id,
     address: `${options.id}:1`,
-    getPlace: options.getPlace,
+    getCandidateIndex: options.getPlace,
   });
 
   function setTimer(name: lease.TimerName, delayMs: number): void {
--- a/packages/coordination/src/testing/map_rounds.ts
+++ b/packages/coordination/src/testing/map_rounds.ts
@@ -182,7 +182,10 @@
     leader?: number,
   ): ModelState {
     const nextStep = state.nextSteps[rank]!;
-    const held = mapSchedule.pauseGate(state.gates[rank]!, { step, nextStep });
+    const held = mapSchedule.holdBeforeStep(state.gates[rank]!, {
+      step,
+      nextStep,
+    });
     if (held.kind === "missed") {
       return feedRank(state, rank, { kind: "hold_missed", epoch }, leader);
     }
--- a/packages/coordination/src/testing/ordered_group.ts
+++ b/packages/coordination/src/testing/ordered_group.ts
@@ -126,7 +126,10 @@
   let ranks: Rank[] = [];
 
   function createVersions(rank: number): mapVersions.CreateMapVersion {
-    return mapVersions.createMapVersions({ rank, readWallMs: () => nowMs });
+    return mapVersions.createMapVersionGenerator({
+      rank,
+      readWallMs: () => nowMs,
+    });
   }
 
   function openGroup(): void {
@@ -226,12 +229,14 @@
     },
   ): void {
     const orderEpoch = epoch;
-    const settler = orderSettler.createSettler({
+    const settler = orderSettler.createOrderSettler({
       order,
       epoch: orderEpoch,
-      maxSendings,
+      maxSendAttempts: maxSendings,
     });
-    function carryOut(effects: readonly orderSettler.SettlerEffect[]): void {
+    function carryOut(
+      effects: readonly orderSettler.OrderSettlerEffect[],
+    ): void {
       for (const effect of effects) {
         switch (effect.kind) {
           case "read":
@@ -262,7 +267,7 @@
     if (round === undefined) return;
     for (const effect of round.handle(event)) execute(leader, effect);
     leader.lastHeldStep = Math.max(leader.lastHeldStep, round.getHeldStep());
-    if (round.isDone()) leader.round = undefined;
+    if (round.isFinished()) leader.round = undefined;
   }
 
   function execute(leader: Leader, effect: switchRound.RoundEffect): void {
@@ -312,10 +317,10 @@
       ownRank: leader.rank,
       rankCount: options.rankCount,
       epoch,
-      computeLead: () => leadPasses,
+      computeLeadPasses: () => leadPasses,
       lastHeldStep: variant.forgetsHolds ? 0 : leader.lastHeldStep,
       createVersion: variant.createVersion ?? leader.createVersion,
-      getLeader: variant.getLeader ?? mapVersions.getLeader,
+      getLeaderRank: variant.getLeader ?? mapVersions.getLeaderRank,
     });
   }
 
@@ -336,12 +341,17 @@
       leader.round = createRound(leader);
       if (held?.heldStep !== undefined) {
         const { rank: heldRank, heldStep } = held;
-        feed(leader, { kind: "clear", heldRank, heldStep, inForce });
+        feed(leader, {
+          kind: "clear",
+          heldRank,
+          heldStep,
+          currentLayers: inForce,
+        });
         return;
       }
       drawnMaps += 1;
       const layers = [[[drawnMaps]]];
-      feed(leader, { kind: "start", layers, inForce, states });
+      feed(leader, { kind: "start", layers, currentLayers: inForce, states });
     };
     leader.tasks.push(readNext);
   }
--- a/packages/coordination/src/upstream_pool.ts
+++ b/packages/coordination/src/upstream_pool.ts
@@ -11,7 +11,7 @@
   /** Members that are used at low load. */
   readonly minSize: number;
   /** Mean load of a member above which the subset grows. */
-  readonly widenLoad: number;
+  readonly growThreshold: number;
   /** Pool that this one replaces; its size and mean load are kept. */
   readonly previous?: Pool<unknown>;
 }
@@ -98,11 +98,11 @@
     resize(nowMs, isUsable) {
       if (nowMs - resizedAtMs < resizeIntervalMs) return;
       resizedAtMs = nowMs;
-      const isLoaded = meanLoad > options.widenLoad;
+      const isLoaded = meanLoad > options.growThreshold;
       const isThinned = countUsable(isUsable) * 2 < minSize;
       if (isLoaded || isThinned) {
         size = Math.min(members.length, size * 2);
-      } else if (meanLoad < options.widenLoad * narrowShare) {
+      } else if (meanLoad < options.growThreshold * narrowShare) {
         const halved = Math.max(minSize, Math.ceil(size / 2));
         if (countUsable(isUsable) >= minSize) size = halved;
       }
