--- a/packages/coordination/example/single_job.ts
+++ b/packages/coordination/example/single_job.ts
@@ -34,7 +34,7 @@
     createId: options.createId,
     holder: options.node,
     address: options.node,
-    getPlace: () => options.place,
+    getCandidateIndex: () => options.place,
   });
   return leaseDriver.driveLease({
     lease: machine,
