--- a/packages/coordination/src/assignment.ts
+++ b/packages/coordination/src/assignment.ts
@@ -7,7 +7,7 @@
 /** Ownership of one group as recorded in the object API. */
 export interface Assignment {
   readonly group: string;
-  /** Half whose requests the group runs; in state `leaving`, its old half. */
+  /** Half whose requests the group runs, or the half that it is leaving. */
   readonly half: string;
   /** Increases by one with every change of this record. */
   readonly epoch: number;
@@ -23,7 +23,7 @@
   | { readonly kind: "leaving" }
   /** The sender's half does not own the group yet. */
   | { readonly kind: "not_yet_owned" }
-  /** The sender's half never owned the group in this epoch; or a stale view. */
+  /** The sender's half never had this epoch, or the sender's view is stale. */
   | { readonly kind: "wrong_epoch" };
 
 /** Ownership of a group as the sender of work assumes it. */
@@ -48,7 +48,7 @@
   return isOwner ? { kind: "admitted" } : { kind: "wrong_epoch" };
 }
 
-/** Returns the assignment with the higher epoch of two for one group. */
+/** Returns the newer of two assignments of a group, by epoch. */
 export function mergeAssignments(
   current: Assignment | undefined,
   received: Assignment,
--- a/packages/coordination/src/claim_committer.ts
+++ b/packages/coordination/src/claim_committer.ts
@@ -200,11 +200,11 @@
         result: { kind: "unavailable" as const, message },
       }));
     const lingerStartMs = options.clock.now() + unavailableRetryMs;
-    const settles = commit.batch.filter(isSettle)
+    const settleOperations = commit.batch.filter(isSettle)
       .map((item) => ({ ...item, lingerStartMs }));
-    const droppedSettles = settles.slice(0, -maxRetainedOutcomes);
-    pending = [...settles.slice(-maxRetainedOutcomes), ...pending];
-    const droppedAnswers = droppedSettles.map(({ operationId }) => ({
+    const droppedOperations = settleOperations.slice(0, -maxRetainedOutcomes);
+    pending = [...settleOperations.slice(-maxRetainedOutcomes), ...pending];
+    const droppedAnswers = droppedOperations.map(({ operationId }) => ({
       kind: "answer" as const,
       operationId,
       result: { kind: "unavailable" as const, message },
--- a/packages/coordination/src/claim_shard.ts
+++ b/packages/coordination/src/claim_shard.ts
@@ -41,7 +41,7 @@
   return Array.isArray(shard?.claims) ? shard as ClaimShard : undefined;
 }
 
-/** Applies operations in order; idempotent. */
+/** Applies operations in order; applying them again changes nothing. */
 export function applyOperations(
   shard: ClaimShard,
   operations: readonly claims.ClaimOperation[],
@@ -154,7 +154,10 @@
   return bytes;
 }
 
-/** Keeps few headers; omits the body, then all headers, over the size limit. */
+/**
+ * Keeps only `recordedHeaders` of an answer, and omits the body and then all
+ * headers if the answer exceeds the size limit.
+ */
 function boundState(state: claims.ClaimState): claims.ClaimState {
   if (state.kind !== "finished") return state;
   const { status, headers, body } = state.answer;
--- a/packages/coordination/src/claims.ts
+++ b/packages/coordination/src/claims.ts
@@ -44,7 +44,7 @@
   readonly upstream: ClaimUpstream;
   /** Incarnation of the agent that may run the attempt. */
   readonly incarnation: string;
-  /** Latest start of the attempt, on the clock of that agent. */
+  /** Latest start time of the attempt, on the clock of that agent. */
   readonly startByMs: number;
   /** Digest of method, path and body. */
   readonly digest: string;
@@ -60,7 +60,7 @@
   | {
     readonly kind: "claim";
     readonly claim: NewClaim;
-    /** Id of an attempt that never runs, as the writer has made sure. */
+    /** Id of an attempt that the writer has verified will never run. */
     readonly replaces?: string;
   }
   | {
@@ -79,7 +79,7 @@
 export type ClaimResult =
   /** The claim is durable; its attempt may be dispatched once. */
   | { readonly kind: "claimed" }
-  /** Another attempt or an outcome of the call is recorded; or it was found. */
+  /** The call has a claim that was not replaced, or that `find` looked up. */
   | { readonly kind: "exists"; readonly claim: Claim }
   /** The name was used for a call with a different body. */
   | { readonly kind: "other_body" }
--- a/packages/coordination/src/conditional_write.ts
+++ b/packages/coordination/src/conditional_write.ts
@@ -17,9 +17,9 @@
     readonly kind: "conflict";
     readonly current?: versionedStore.StoredObject;
   }
-  /** Not written; the store was unreachable. */
+  /** Not written; the store was unreachable or refused the call. */
   | versionedStore.Unavailable
-  /** May have been written; the change id allows to check later. */
+  /** The write may have taken effect; check later by the change id. */
   | { readonly kind: "unknown"; readonly message: string };
 
 export type WriteEvent =
--- a/packages/coordination/src/gossip.ts
+++ b/packages/coordination/src/gossip.ts
@@ -17,9 +17,9 @@
 /** Input of the member. */
 export type GossipEvent =
   | StoreEvent
-  /** Due every `tickMs`. */
+  /** Delivered every `tickMs`. */
   | { readonly kind: "tick" }
-  /** Due `pushDelayMs` after the effect `schedule_push`. */
+  /** Delivered `pushDelayMs` after the effect `schedule_push`. */
   | { readonly kind: "push_due" }
   | {
     readonly kind: "instances_listed";
--- a/packages/coordination/src/gossip_message.ts
+++ b/packages/coordination/src/gossip_message.ts
@@ -35,7 +35,7 @@
 /** Limits of one message. */
 export interface MessageLimits {
   readonly members: number;
-  /** Total length of keys and values; a single object may exceed it. */
+  /** Bytes of keys and values; a single object may exceed the limit. */
   readonly objectBytes: number;
   readonly summaries: number;
   readonly wanted: number;
--- a/packages/coordination/src/membership.ts
+++ b/packages/coordination/src/membership.ts
@@ -38,7 +38,7 @@
   /**
    * Should be higher than in earlier processes with this id, such as the start
    * time in milliseconds since 1970. A value that is too low is raised when
-   * other members send a record with a higher one.
+   * another member sends a record with a higher incarnation.
    */
   readonly incarnation: number;
   readonly random: random.RandomSource;
@@ -51,7 +51,7 @@
   find(id: string): MemberRecord | undefined;
   /** Members that are not removed, including the node itself. */
   list(): readonly MemberRecord[];
-  /** Members that are not removed, without the node itself. */
+  /** Members other than the node itself that messages may be sent to. */
   listPeers(): readonly MemberRecord[];
   /** Applies the instance list; returns the changed records. */
   applyInstanceList(
@@ -147,7 +147,7 @@
     return [self];
   }
 
-  /** Refutes a record of this node from another by raising the incarnation. */
+  /** Refutes another node's record of this node by raising the incarnation. */
   function raiseOwnIncarnation(record: MemberRecord): readonly MemberRecord[] {
     const isOutdated = record.incarnation < self.incarnation;
     const isOwn = record.incarnation === self.incarnation &&
--- a/packages/coordination/src/roster.ts
+++ b/packages/coordination/src/roster.ts
@@ -20,7 +20,7 @@
   readonly id: string;
   /** Address for messages. */
   readonly address: string;
-  /** Wall-clock time of its start; the member with the lowest is the hub. */
+  /** Wall-clock start time; the member with the lowest value is the hub. */
   readonly incarnation: number;
   /** Increases with each change of the details. */
   readonly revision: number;
@@ -51,7 +51,7 @@
 /** A member as reported by another member. */
 export interface RelayedMember<Details> {
   readonly info: MemberInfo<Details>;
-  /** Time since the last sign of life from the member, in milliseconds. */
+  /** Time since the last message from the member itself, in milliseconds. */
   readonly heardAgoMs: number;
 }
 
@@ -73,7 +73,7 @@
   /** Initial addresses; may contain the own address. */
   readonly seeds: readonly string[];
   /**
-   * Time without a sign of life after which a member counts as gone, in
+   * Time without a message after which a member counts as gone, in
    * milliseconds.
    * @default 800
    */
@@ -150,7 +150,7 @@
   let tickCount = 0;
   let seedIndex = 0;
 
-  function listOthers(): readonly KnownMember<Details>[] {
+  function listLiveOthers(): readonly KnownMember<Details>[] {
     const oldestMs = clock.now() - memberTimeoutMs;
     return [...knownMembers.values()].filter(({ lastSeenAtMs }) =>
       lastSeenAtMs >= oldestMs
@@ -158,7 +158,7 @@
   }
 
   function listLive(): readonly MemberInfo<Details>[] {
-    return [self, ...listOthers().map(({ info }) => info)].sort(compareAge);
+    return [self, ...listLiveOthers().map(({ info }) => info)].sort(compareAge);
   }
 
   function getHub(): MemberInfo<Details> {
@@ -216,7 +216,7 @@
       news: options.readHubStatus?.(),
       members: hasSameMembers
         ? undefined
-        : listOthers().map(({ info, lastSeenAtMs }) => ({
+        : listLiveOthers().map(({ info, lastSeenAtMs }) => ({
           info,
           heardAgoMs: Math.ceil(nowMs - lastSeenAtMs),
         })),
@@ -224,7 +224,7 @@
   }
 
   function sendRoster(): Sends {
-    return listOthers().map((member) => ({
+    return listLiveOthers().map((member) => ({
       to: member.info.address,
       message: createRosterMessage(member),
     }));
@@ -257,17 +257,17 @@
       compareVersions(previous, from) < 0;
     recordMember(from, 0, { hash, token: echoed });
     if (getHub().id === self.id) return isNewer ? sendRoster() : [];
-    // The sender contacted a member that is not the hub, which the roster lists.
+    // This member is not the hub; the roster shows the sender which member is.
     const message = createRosterMessage(knownMembers.get(from.id));
     return [{ to: from.address, message }];
   }
 
   /** Renews all members after a roster that confirmed them by their hash. */
   function renewMembers(): void {
-    const lastSeenAtMs = clock.now() - memberTimeoutMs / 2;
+    const assumedSeenAtMs = clock.now() - memberTimeoutMs / 2;
     for (const [id, member] of knownMembers) {
       if (clock.now() - member.lastSeenAtMs > memberTimeoutMs) continue;
-      const latestMs = Math.max(member.lastSeenAtMs, lastSeenAtMs);
+      const latestMs = Math.max(member.lastSeenAtMs, assumedSeenAtMs);
       knownMembers.set(id, { ...member, lastSeenAtMs: latestMs });
     }
   }
--- a/packages/coordination/src/settings_propagation.ts
+++ b/packages/coordination/src/settings_propagation.ts
@@ -95,11 +95,11 @@
   const candidates = members.filter((member) =>
     member.failureDomain === self.failureDomain && member.state !== "leaving"
   ).map(({ id }) => ({ id }));
-  const chosen = rendezvous.selectMembers(candidates, {
+  const watchers = rendezvous.selectMembers(candidates, {
     key: `watch/${self.failureDomain}`,
     count: watchersPerDomain,
   });
-  return chosen.some(({ id }) => id === self.id);
+  return watchers.some(({ id }) => id === self.id);
 }
 
 /** Creates the propagation of one node with an empty replica. */
@@ -149,7 +149,7 @@
     return [...effects, ...checkReady()];
   }
 
-  /** Lists the store if peers dropped tombstones that this node may lack. */
+  /** Lists the store if peers dropped tombstones this node may have missed. */
   function checkFloor(floorVersion: number): PropagationEffect[] {
     const hasMissedRemovals = isReady && floorVersion > newestVersion;
     return hasMissedRemovals
--- a/packages/coordination/src/settings_replica.ts
+++ b/packages/coordination/src/settings_replica.ts
@@ -62,12 +62,14 @@
   /**
    * Accepts objects with a higher version than their key has here; returns the
    * accepted objects. An object with an unknown key is rejected unless its
-   * version is above the floor, because its tombstone may have been dropped.
+   * version is above the floor, because the key may have been removed and its
+   * tombstone dropped.
    */
   merge(objects: readonly ReplicatedObject[]): readonly ReplicatedObject[];
   /**
    * Applies the complete content of a prefix in the object store at `version`;
-   * keys that the listing lacks become tombstones. Returns the changed objects.
+   * keys of this replica that the listing lacks become tombstones. Returns the
+   * changed objects.
    */
   mergeList(list: PrefixListing): readonly ReplicatedObject[];
   get(key: string): ReplicatedObject | undefined;
--- a/packages/coordination/src/versioned_store.ts
+++ b/packages/coordination/src/versioned_store.ts
@@ -27,7 +27,7 @@
   /** The condition failed; nothing was written. */
   | { readonly kind: "conflict"; readonly current?: StoredObject }
   | Unavailable
-  /** The answer was lost: the write may have taken effect, or still may. */
+  /** The answer was lost; the write may have taken effect, or may do so yet. */
   | { readonly kind: "unknown"; readonly message: string };
 
 /** Client of the object store, passed in by the embedding process. */
