--- a/packages/anvilhinge/src/agent/assignment_follower.ts
+++ b/packages/anvilhinge/src/agent/assignment_follower.ts
@@ -1,6 +1,6 @@
 /**
- * Keeps an agent's assignment up to date over streams to two entries, so that
- * one entry may die or fall behind without a gap.
+ * Keeps an agent's assignment up to date over streams from two entries, so that
+ * one of the entries may fail or lag without a gap in the updates.
  */
 import type * as assignment from "@anvilhinge/coordination/assignment";
 import type * as random from "@anvilhinge/coordination/random";
@@ -15,32 +15,32 @@
   readonly group: string;
   readonly rank: number;
   readonly incarnation: string;
-  /** Control addresses of entries that may be followed. */
+  /** Lists the control addresses of the entries that may be followed. */
   readonly listEntries: () => readonly string[];
   readonly scheduler: scheduler.Scheduler;
   readonly random: random.RandomSource;
   readonly signal: AbortSignal;
   readonly onAssignment: (received: assignment.Assignment) => void;
-  /** Called when a stream to an entry ends. */
+  /** Called when the stream from an entry ends. */
   readonly onDisconnect?: (address: string) => void;
 }
 
-const followedEntries = 2;
-const reconnectMs = 500;
+const followedEntryCount = 2;
+const reconnectDelayMs = 500;
 
 /** Follows two entries until the signal aborts. */
 export function followAssignment(options: FollowerOptions): void {
-  const active = new Set<string>();
+  const followed = new Set<string>();
 
   function chooseEntry(): string | undefined {
     const members = options.listEntries()
-      .filter((address) => !active.has(address))
+      .filter((address) => !followed.has(address))
       .map((address) => ({ id: address }));
     const key = `${options.group}/${options.rank}`;
     return rendezvous.selectMembers(members, { key, count: 1 })[0]?.id;
   }
 
-  async function followOne(address: string): Promise<void> {
+  async function followEntry(address: string): Promise<void> {
     const transport = connectNode.createConnectTransport({
       baseUrl: `http://${address}`,
       httpVersion: "2",
@@ -52,8 +52,8 @@
       incarnation: options.incarnation,
     };
     const { signal } = options;
-    for await (const wire of client.followGroup(request, { signal })) {
-      const received = assignmentCodec.decodeAssignment(wire);
+    for await (const message of client.followGroup(request, { signal })) {
+      const received = assignmentCodec.decodeAssignment(message);
       if (received !== undefined) options.onAssignment(received);
     }
   }
@@ -61,22 +61,22 @@
   async function keepFollowing(): Promise<void> {
     const address = chooseEntry();
     if (address !== undefined) {
-      active.add(address);
+      followed.add(address);
       try {
-        await followOne(address);
+        await followEntry(address);
       } catch {
-        // A broken stream is followed anew below, maybe elsewhere.
+        // A new stream is opened below after a delay, possibly to another entry.
       }
-      active.delete(address);
+      followed.delete(address);
       if (!options.signal.aborted) options.onDisconnect?.(address);
     }
     options.scheduler.schedule(() => void keepFollowing(), {
-      delayMs: reconnectMs * (0.5 + options.random()),
+      delayMs: reconnectDelayMs * (0.5 + options.random()),
       signal: options.signal,
     });
   }
 
-  for (let index = 0; index < followedEntries; index += 1) {
+  for (let index = 0; index < followedEntryCount; index += 1) {
     void keepFollowing();
   }
 }
--- a/packages/anvilhinge/src/agent/assignment_gate.ts
+++ b/packages/anvilhinge/src/agent/assignment_gate.ts
@@ -1,9 +1,10 @@
 /**
- * Confirms the first assignment of an agent. An entry with an old view could
- * tell a restarted agent that a group which is leaving still serves, after the
- * agent's former incarnation reported it drained. So the agent reads the record
- * once from the object API before it admits work. While the object API is away
- * no move can complete, and the entries' word is enough.
+ * Delays the assignments that a starting agent receives from entries until the
+ * agent has read its assignment record from the object store. Otherwise an entry
+ * with an outdated view could assign a leaving group to a restarted agent as
+ * still serving, although the agent's previous incarnation has already reported
+ * the group as drained. While the object store is unavailable, no move can
+ * complete, so the assignments from entries suffice.
  */
 import type * as assignment from "@anvilhinge/coordination/assignment";
 import * as assignmentCodec from "../adapters/assignment_codec.ts";
@@ -16,33 +17,33 @@
 }
 
 export interface AssignmentGate {
-  /** Takes what an entry told. */
+  /** Receives an assignment from an entry. */
   receive(received: assignment.Assignment): void;
 }
 
-/** Creates the gate and starts the read. */
+/** Creates the gate and starts reading the record. */
 export function createAssignmentGate(
   options: AssignmentGateOptions,
 ): AssignmentGate {
-  const waiting: assignment.Assignment[] = [];
-  let isConfirmed = false;
+  const pending: assignment.Assignment[] = [];
+  let hasRead = false;
 
-  async function verifyRecord(): Promise<void> {
+  async function readRecord(): Promise<void> {
     const key = assignmentCodec.formatKey(options.group);
     const outcome = await options.store.read(key);
     const record = outcome.kind === "found"
       ? assignmentCodec.parseAssignment(outcome.object.value)
       : undefined;
-    isConfirmed = true;
+    hasRead = true;
     if (record !== undefined) options.onAssignment(record);
-    for (const received of waiting.splice(0)) options.onAssignment(received);
+    for (const received of pending.splice(0)) options.onAssignment(received);
   }
 
-  void verifyRecord();
+  void readRecord();
   return {
     receive(received) {
-      if (isConfirmed) options.onAssignment(received);
-      else waiting.push(received);
+      if (hasRead) options.onAssignment(received);
+      else pending.push(received);
     },
   };
 }
--- a/packages/anvilhinge/src/agent/attempts.ts
+++ b/packages/anvilhinge/src/agent/attempts.ts
@@ -1,7 +1,7 @@
 /**
- * The attempts of one agent: admits work, keeps the frames of each attempt so
+ * The attempts of one agent: admits work, retains the frames of each attempt so
  * that an entry can follow or resume it, and seals attempts that must not
- * start. Deterministic: all time comes from the clock that is passed in.
+ * start. Deterministic: all timestamps come from the clock that is passed in.
  */
 import * as assignment from "@anvilhinge/coordination/assignment";
 import type * as clock from "@anvilhinge/coordination/clock";
@@ -17,71 +17,74 @@
   readonly clock: clock.Clock;
   readonly group: string;
   readonly rank: number;
-  /** Drawn anew at every start of the agent. */
+  /** Random id, new at every start of the agent. */
   readonly incarnation: string;
   readonly readLoad: () => engine.EngineLoad;
   /**
-   * How long a finished attempt is kept, in milliseconds.
+   * Retention period of a finished attempt, in milliseconds.
    * @default 60000
    */
   readonly retentionMs?: number;
   /**
-   * Most bytes of frames that are held for resumes.
+   * Maximum size of the frames retained for resumes, in bytes.
    * @default 8388608
    */
   readonly heldLimitBytes?: number;
   /**
-   * How long an attempt runs on while no entry follows it, in milliseconds.
+   * Time after which a repeatable attempt without a follower is an orphan, in
+   * milliseconds.
    * @default 10000
    */
   readonly orphanGraceMs?: number;
   /**
-   * Most attempts that may run at once; more are refused as overloaded.
+   * Maximum number of running attempts; further ones are refused as overloaded.
    * @default 256
    */
   readonly maxRunning?: number;
-  /** True for an attempt that could not finish in time. Default: never. */
+  /** Whether an attempt could not finish in time. Default: never. */
   readonly isOverloaded?: (attempt: frames.Attempt) => boolean;
   /**
-   * Advice with a refusal for overload, in milliseconds.
+   * Retry delay advised with a refusal for overload, in milliseconds.
    * @default 500
    */
   readonly overloadRetryMs?: number;
 }
 
-/** What the adapter must do after an attempt was offered. */
+/** Outcome of an offer, on which the adapter must act. */
 export type OfferOutcome =
   /** Start the engine, then feed its events to `receiveEvent`. */
   | { readonly kind: "start" }
-  /** The attempt is known; its frames were delivered to the sink. */
+  /** The attempt exists already; the sink receives its frames. */
   | { readonly kind: "followed" }
   | { readonly kind: "refused" };
 
-interface Held {
+interface TrackedAttempt {
   readonly requestId: string;
   readonly attemptId: string;
   readonly workspace: string;
   readonly isRepeatable: boolean;
-  /** Instant by which the caller wants the answer. */
+  /** Time by which the caller wants the answer. */
   readonly deadlineAtMs: number;
   readonly sinks: Set<FrameSink>;
   frameCount: number;
   state: "running" | "finished";
-  /** True when a follower took the last frame, or none will. */
-  isTaken: boolean;
+  /** True when a follower received the last frame, or none ever will. */
+  isDelivered: boolean;
+  /** Time of the end or of the loss of the last follower. */
   changedAtMs: number;
 }
 
-/** The admission gate and the frame store of one agent. */
+/** Admits, stores and seals the attempts of one agent. */
 export interface Attempts {
   setAssignment(received: assignment.Assignment): void;
   getAssignment(): assignment.Assignment | undefined;
   /** Refuses all new work from now on. */
   stop(): void;
+  /** Admits or refuses an attempt; follows it when it exists already. */
   offer(attempt: frames.Attempt, sink: FrameSink): OfferOutcome;
-  /** Turns an engine's event into frames; ignores attempts that have ended. */
+  /** Converts an engine's event to frames; ignored after an attempt's end. */
   receiveEvent(attemptId: string, event: engine.EngineEvent): void;
-  /** Delivers the frames from `fromSequence` on; `not_held` when unknown. */
+  /** Delivers the frames from `fromSequence` on, or `not_held`. */
   resume(
     request: {
       readonly requestId: string;
@@ -91,22 +94,23 @@
     },
     sink: FrameSink,
   ): void;
-  /** Stops delivery to a sink, for example because its connection broke. */
+  /** Stops the delivery to a sink, for example after a connection failure. */
   detach(attemptId: string, sink: FrameSink): void;
   /**
-   * Ends a running attempt that may be repeated, or keeps it from starting;
-   * true when its engine work must be cancelled.
+   * Ends a running repeatable attempt, or prevents an unknown attempt from
+   * starting. Returns true when the engine's work must be cancelled.
    */
   cancel(attemptId: string): boolean;
+  /** Prevents the start of an attempt, or returns why that is impossible. */
   seal(request: frames.SealRequest): frames.SealOutcome;
-  /** Tells that a follower has the attempt's last frame. */
+  /** Records that a follower has received the attempt's last frame. */
   markDelivered(attemptId: string): void;
-  /** Drops what is past its retention; returns orphans to cancel. */
+  /** Drops expired attempts; returns the ids of orphans to cancel. */
   expire(): readonly string[];
   countRunning(): number;
-  /** Finished attempts whose last frame no follower has. */
+  /** Counts the finished attempts whose last frame no follower received. */
   countUndelivered(): number;
-  /** Bytes of frames that are held. */
+  /** Returns the size of the retained frames, in bytes. */
   countHeldBytes(): number;
 }
 
@@ -116,58 +120,58 @@
 const defaultMaxRunning = 256;
 const defaultOverloadRetryMs = 500;
 
-/** Creates the attempt table of one agent; it admits nothing until assigned. */
+/** Creates the attempts of one agent; admits none before an assignment. */
 export function createAttempts(options: AttemptsOptions): Attempts {
   const retentionMs = options.retentionMs ?? defaultRetentionMs;
   const orphanGraceMs = options.orphanGraceMs ?? defaultOrphanGraceMs;
   const maxRunning = options.maxRunning ?? defaultMaxRunning;
-  const held = new Map<string, Held>();
+  const trackedAttempts = new Map<string, TrackedAttempt>();
   const logs = frameLogs.createFrameLogs({
     limitBytes: options.heldLimitBytes ?? defaultHeldLimitBytes,
   });
-  const starts = startGuard.createStartGuard({
+  const guard = startGuard.createStartGuard({
     clock: options.clock,
     incarnation: options.incarnation,
     retentionMs,
   });
-  let known: assignment.Assignment | undefined;
+  let currentAssignment: assignment.Assignment | undefined;
   let isStopping = false;
   let runningCount = 0;
 
   function findRefusal(
     attempt: frames.Attempt,
   ): frames.RefusalReason | undefined {
-    const limit = starts.findRefusal(attempt.attemptId, attempt);
-    if (limit !== undefined) return limit;
+    const startRefusal = guard.findRefusal(attempt.attemptId, attempt);
+    if (startRefusal !== undefined) return startRefusal;
     if (attempt.group !== options.group || attempt.rank !== options.rank) {
       return "wrong_group";
     }
     if (isStopping) return "stopping";
-    const admission = assignment.checkAdmission(known, attempt);
+    const admission = assignment.checkAdmission(currentAssignment, attempt);
     if (admission.kind !== "admitted") return admission.kind;
     const isOverloaded = runningCount >= maxRunning ||
       options.isOverloaded?.(attempt) === true;
     return isOverloaded ? "overloaded" : undefined;
   }
 
-  function append(entry: Held, body: frames.FrameBody): void {
+  function append(tracked: TrackedAttempt, body: frames.FrameBody): void {
     const frame = {
-      requestId: entry.requestId,
-      attemptId: entry.attemptId,
-      sequence: entry.frameCount,
+      requestId: tracked.requestId,
+      attemptId: tracked.attemptId,
+      sequence: tracked.frameCount,
       body,
     };
-    entry.frameCount += 1;
-    logs.append(entry.attemptId, frame);
-    for (const sink of entry.sinks) sink(frame);
+    tracked.frameCount += 1;
+    logs.append(tracked.attemptId, frame);
+    for (const sink of tracked.sinks) sink(frame);
   }
 
-  function finish(entry: Held, body: frames.FrameBody): void {
-    append(entry, body);
-    entry.state = "finished";
-    entry.changedAtMs = options.clock.now();
-    entry.sinks.clear();
-    logs.finish(entry.attemptId);
+  function finish(tracked: TrackedAttempt, body: frames.FrameBody): void {
+    append(tracked, body);
+    tracked.state = "finished";
+    tracked.changedAtMs = options.clock.now();
+    tracked.sinks.clear();
+    logs.finish(tracked.attemptId);
     runningCount -= 1;
   }
 
@@ -175,11 +179,11 @@
     request: Parameters<Attempts["resume"]>[0],
     sink: FrameSink,
   ): void {
-    const entry = held.get(request.attemptId);
-    const isOwn = entry?.requestId === request.requestId &&
-      entry.workspace === request.workspace;
-    const missed = logs.read(request.attemptId, request.fromSequence);
-    if (entry === undefined || !isOwn || missed === undefined) {
+    const tracked = trackedAttempts.get(request.attemptId);
+    const isSameRequest = tracked?.requestId === request.requestId &&
+      tracked.workspace === request.workspace;
+    const missedFrames = logs.read(request.attemptId, request.fromSequence);
+    if (tracked === undefined || !isSameRequest || missedFrames === undefined) {
       sink({
         requestId: request.requestId,
         attemptId: request.attemptId,
@@ -188,8 +192,8 @@
       });
       return;
     }
-    for (const frame of missed) sink(frame);
-    if (entry.state === "running") entry.sinks.add(sink);
+    for (const frame of missedFrames) sink(frame);
+    if (tracked.state === "running") tracked.sinks.add(sink);
   }
 
   function refuse(
@@ -197,10 +201,10 @@
     reason: frames.RefusalReason,
     sink: FrameSink,
   ): void {
-    // A copy of the call that arrives later must not start what was refused.
+    // A duplicate of the call that arrives later must not start the attempt.
     const canStartLater = reason !== "expired" &&
       reason !== "wrong_incarnation";
-    if (canStartLater) starts.forbid(attempt.attemptId, attempt.startByMs);
+    if (canStartLater) guard.forbid(attempt.attemptId, attempt.startByMs);
     const retryAfterMs = reason === "overloaded"
       ? options.overloadRetryMs ?? defaultOverloadRetryMs
       : 0;
@@ -219,14 +223,17 @@
 
   return {
     setAssignment(received) {
-      known = assignment.mergeAssignments(known, received);
+      currentAssignment = assignment.mergeAssignments(
+        currentAssignment,
+        received,
+      );
     },
-    getAssignment: () => known,
+    getAssignment: () => currentAssignment,
     stop() {
       isStopping = true;
     },
     offer(attempt, sink) {
-      const existing = held.get(attempt.attemptId);
+      const existing = trackedAttempts.get(attempt.attemptId);
       if (existing !== undefined) {
         follow({ ...attempt, fromSequence: 0 }, sink);
         return { kind: "followed" };
@@ -238,7 +245,7 @@
       }
       runningCount += 1;
       const nowMs = options.clock.now();
-      held.set(attempt.attemptId, {
+      trackedAttempts.set(attempt.attemptId, {
         requestId: attempt.requestId,
         attemptId: attempt.attemptId,
         workspace: attempt.workspace,
@@ -247,36 +254,36 @@
         sinks: new Set([sink]),
         frameCount: 0,
         state: "running",
-        isTaken: false,
+        isDelivered: false,
         changedAtMs: nowMs,
       });
       logs.open(attempt.attemptId, attempt);
       return { kind: "start" };
     },
     receiveEvent(attemptId, event) {
-      const entry = held.get(attemptId);
-      if (entry === undefined || entry.state === "finished") return;
+      const tracked = trackedAttempts.get(attemptId);
+      if (tracked === undefined || tracked.state === "finished") return;
       switch (event.kind) {
         case "head":
-          append(entry, {
+          append(tracked, {
             kind: "accepted",
             incarnation: options.incarnation,
             head: event.head,
           });
           return;
         case "data":
-          append(entry, { kind: "chunk", data: event.data });
+          append(tracked, { kind: "chunk", data: event.data });
           return;
         case "end":
-          finish(entry, {
+          finish(tracked, {
             kind: "end",
-            frameCount: entry.frameCount + 1,
+            frameCount: tracked.frameCount + 1,
             load: options.readLoad(),
           });
           return;
         case "failed":
-          if (!event.started && entry.frameCount === 0) {
-            finish(entry, {
+          if (!event.started && tracked.frameCount === 0) {
+            finish(tracked, {
               kind: "refused",
               reason: "engine_unavailable",
               retryAfterMs: 0,
@@ -284,7 +291,7 @@
             });
             return;
           }
-          finish(entry, {
+          finish(tracked, {
             kind: "failed",
             message: event.message,
             load: options.readLoad(),
@@ -294,24 +301,24 @@
     },
     resume: follow,
     detach(attemptId, sink) {
-      const entry = held.get(attemptId);
-      if (entry === undefined) return;
-      entry.sinks.delete(sink);
-      if (entry.state === "running" && entry.sinks.size === 0) {
-        entry.changedAtMs = options.clock.now();
+      const tracked = trackedAttempts.get(attemptId);
+      if (tracked === undefined) return;
+      tracked.sinks.delete(sink);
+      if (tracked.state === "running" && tracked.sinks.size === 0) {
+        tracked.changedAtMs = options.clock.now();
       }
     },
     cancel(attemptId) {
-      const entry = held.get(attemptId);
-      if (entry === undefined) {
-        // The cancel overtook the call that it ends.
+      const tracked = trackedAttempts.get(attemptId);
+      if (tracked === undefined) {
+        // The cancel arrived before the call that it cancels.
         const latestStartMs = options.clock.now() + frames.startWindowMs;
-        starts.forbid(attemptId, latestStartMs);
+        guard.forbid(attemptId, latestStartMs);
         return false;
       }
-      if (entry.state === "finished" || !entry.isRepeatable) return false;
-      entry.isTaken = true;
-      finish(entry, {
+      if (tracked.state === "finished" || !tracked.isRepeatable) return false;
+      tracked.isDelivered = true;
+      finish(tracked, {
         kind: "failed",
         message: "The attempt was cancelled",
         load: options.readLoad(),
@@ -319,40 +326,40 @@
       return true;
     },
     seal(request) {
-      const entry = held.get(request.attemptId);
-      if (entry !== undefined) return entry.state;
-      if (!starts.hasNeverStarted(request)) return "unknown";
-      starts.forbid(request.attemptId, request.startByMs);
+      const tracked = trackedAttempts.get(request.attemptId);
+      if (tracked !== undefined) return tracked.state;
+      if (!guard.hasNeverStarted(request)) return "unknown";
+      guard.forbid(request.attemptId, request.startByMs);
       return "sealed";
     },
     markDelivered(attemptId) {
-      const entry = held.get(attemptId);
-      if (entry?.state === "finished") entry.isTaken = true;
+      const tracked = trackedAttempts.get(attemptId);
+      if (tracked?.state === "finished") tracked.isDelivered = true;
     },
     expire() {
       const nowMs = options.clock.now();
       const orphans: string[] = [];
-      for (const entry of held.values()) {
-        const ageMs = nowMs - entry.changedAtMs;
-        if (entry.state === "finished") {
+      for (const tracked of trackedAttempts.values()) {
+        const ageMs = nowMs - tracked.changedAtMs;
+        if (tracked.state === "finished") {
           if (ageMs < retentionMs) continue;
-          held.delete(entry.attemptId);
-          logs.remove(entry.attemptId);
+          trackedAttempts.delete(tracked.attemptId);
+          logs.remove(tracked.attemptId);
           continue;
         }
-        if (!entry.isRepeatable) continue;
-        const isLeft = entry.sinks.size === 0 && ageMs >= orphanGraceMs;
-        // A connection that broke in silence still counts as a follower.
-        const isOverdue = nowMs >= entry.deadlineAtMs + orphanGraceMs;
-        if (isLeft || isOverdue) orphans.push(entry.attemptId);
+        if (!tracked.isRepeatable) continue;
+        const isUnfollowed = tracked.sinks.size === 0 && ageMs >= orphanGraceMs;
+        // A broken connection that was not detected still counts as a follower.
+        const isOverdue = nowMs >= tracked.deadlineAtMs + orphanGraceMs;
+        if (isUnfollowed || isOverdue) orphans.push(tracked.attemptId);
       }
-      starts.expire();
+      guard.expire();
       return orphans;
     },
     countRunning: () => runningCount,
     countUndelivered: () =>
-      [...held.values()].filter((entry) =>
-        entry.state === "finished" && !entry.isTaken
+      [...trackedAttempts.values()].filter((tracked) =>
+        tracked.state === "finished" && !tracked.isDelivered
       ).length,
     countHeldBytes: () => logs.countBytes(),
   };
--- a/packages/anvilhinge/src/agent/drained_reporter.ts
+++ b/packages/anvilhinge/src/agent/drained_reporter.ts
@@ -1,15 +1,15 @@
 /**
- * Reports to entries that a leaving group's rank is drained: the agent knows
- * the leaving assignment, under which it admits nothing, and no attempt runs.
- * The report is repeated until the next assignment is known, because the entry
- * in charge keeps nothing and may be replaced.
+ * Reports to entries that a rank of a leaving group is drained: the agent has
+ * received the leaving assignment, under which it admits no work, and runs no
+ * attempt. The report is repeated until the next assignment arrives, because
+ * the entry in charge keeps no state and may be replaced.
  */
 import type * as random from "@anvilhinge/coordination/random";
 import * as rendezvous from "@anvilhinge/coordination/rendezvous";
 import type * as scheduler from "../ports/scheduler.ts";
 import type * as attempts from "./attempts.ts";
 
-/** What a rank tells about itself. */
+/** Report that a rank is drained. */
 export interface DrainedReport {
   readonly group: string;
   readonly rank: number;
@@ -23,7 +23,7 @@
   readonly rank: number;
   readonly incarnation: string;
   readonly attempts: Pick<attempts.Attempts, "getAssignment" | "countRunning">;
-  /** Control addresses of entries. */
+  /** Lists the control addresses of entries. */
   readonly listEntries: () => readonly string[];
   /** Resolves to whether the report reached the entry in charge. */
   readonly send: (address: string, report: DrainedReport) => Promise<boolean>;
@@ -33,23 +33,23 @@
 }
 
 const checkIntervalMs = 250;
-/** Interval of the reports once one was taken. */
+/** Interval between reports after one was accepted. */
 const repeatIntervalMs = 2_000;
 
-/** Checks and reports at intervals until the signal aborts. */
+/** Checks for a drained rank and reports it until the signal aborts. */
 export function startReporter(options: ReporterOptions): void {
   const { group, rank, incarnation, attempts } = options;
   let failures = 0;
 
   function buildReport(): DrainedReport | undefined {
-    const known = attempts.getAssignment();
-    if (known?.state !== "leaving" || attempts.countRunning() > 0) {
+    const current = attempts.getAssignment();
+    if (current?.state !== "leaving" || attempts.countRunning() > 0) {
       return undefined;
     }
-    return { group, rank, incarnation, epoch: known.epoch };
+    return { group, rank, incarnation, epoch: current.epoch };
   }
 
-  /** Each failure moves on to the next entry in the order of this rank. */
+  /** Selects the next entry in the order of this rank after each failure. */
   function selectEntry(): string | undefined {
     const members = options.listEntries().map((address) => ({ id: address }));
     const key = `${group}/${rank}`;
@@ -63,21 +63,21 @@
   async function sendReport(report: DrainedReport): Promise<boolean> {
     const address = selectEntry();
     if (address === undefined) return false;
-    const isTaken = await options.send(address, report);
-    failures = isTaken ? failures : failures + 1;
-    return isTaken;
+    const isAccepted = await options.send(address, report);
+    failures = isAccepted ? failures : failures + 1;
+    return isAccepted;
   }
 
-  async function check(): Promise<void> {
+  async function runCheck(): Promise<void> {
     const report = buildReport();
-    const isTaken = report !== undefined && await sendReport(report);
+    const isAccepted = report !== undefined && await sendReport(report);
     if (options.signal.aborted) return;
-    const intervalMs = isTaken ? repeatIntervalMs : checkIntervalMs;
-    options.scheduler.schedule(() => void check(), {
+    const intervalMs = isAccepted ? repeatIntervalMs : checkIntervalMs;
+    options.scheduler.schedule(() => void runCheck(), {
       delayMs: intervalMs * (0.75 + options.random() / 2),
       signal: options.signal,
     });
   }
 
-  void check();
+  void runCheck();
 }
--- a/packages/anvilhinge/src/agent/entry_client.ts
+++ b/packages/anvilhinge/src/agent/entry_client.ts
@@ -1,4 +1,4 @@
-/** Calls entries with connect-es on behalf of an agent. */
+/** Client of the entries' connect-es service. */
 import * as connect from "@connectrpc/connect";
 import * as connectNode from "@connectrpc/connect-node";
 import * as entryPb from "../gen/anvilhinge/v1/entry_pb.ts";
@@ -7,7 +7,7 @@
 const callTimeoutMs = 2_000;
 const idleConnectionTimeoutMs = 5_000;
 
-/** Creates the function that sends drained reports. */
+/** Creates the function that sends drained reports to an entry. */
 export function createReportSender(
   options: { readonly signal: AbortSignal },
 ): drainedReporter.ReporterOptions["send"] {
@@ -31,7 +31,7 @@
     } catch {
       return false;
     } finally {
-      // Reports are rare; a kept connection would join each rank to entries.
+      // Reports are rare; open connections would link every rank to entries.
       sessionManager.abort();
     }
   };
--- a/packages/anvilhinge/src/agent/frame_logs.ts
+++ b/packages/anvilhinge/src/agent/frame_logs.ts
@@ -1,22 +1,23 @@
 /**
- * The frames of all attempts of one agent, kept for resumes within a bound in
- * bytes. Over the bound, finished answers go first, then the oldest frames of
- * the largest running one; answers of work that must not run twice go last.
+ * The frames of all attempts of one agent, retained for resumes up to a limit in
+ * bytes. Above the limit, the frames of finished attempts are evicted first,
+ * those of non-repeatable work last among them; then the oldest frames of the
+ * largest running attempt.
  */
 import type * as frames from "../ports/frames.ts";
 
 export interface FrameLogsOptions {
-  /** Most bytes of frames that are held. */
+  /** Maximum size of the retained frames, in bytes. */
   readonly limitBytes: number;
 }
 
 export interface FrameLogs {
   open(attemptId: string, options: { readonly isRepeatable: boolean }): void;
   append(attemptId: string, frame: frames.Frame): void;
-  /** Lets the frames be dropped before those of running attempts. */
+  /** Allows eviction of the frames before those of running attempts. */
   finish(attemptId: string): void;
   remove(attemptId: string): void;
-  /** Frames from a sequence number on; undefined when some were dropped. */
+  /** Returns the frames from a sequence number on; undefined if some are gone. */
   read(
     attemptId: string,
     fromSequence: number,
@@ -26,17 +27,17 @@
 
 interface Log {
   readonly isRepeatable: boolean;
-  /** Sequence number of the first frame that is held. */
+  /** Sequence number of the first retained frame. */
   firstSequence: number;
   frames: frames.Frame[];
   bytes: number;
   isFinished: boolean;
 }
 
-/** Bytes that a frame takes besides its data. */
+/** Size that is counted for a frame besides its data. */
 const frameOverheadBytes = 128;
 
-/** Creates an empty store of frames. */
+/** Creates empty frame logs. */
 export function createFrameLogs(options: FrameLogsOptions): FrameLogs {
   const logs = new Map<string, Log>();
   let totalBytes = 0;
@@ -59,19 +60,19 @@
 
   function evict(): void {
     if (totalBytes <= options.limitBytes) return;
-    const all = [...logs.values()].filter((log) => log.bytes > 0);
-    const finished = all.filter((log) => log.isFinished);
-    const inOrder = [
+    const nonEmpty = [...logs.values()].filter((log) => log.bytes > 0);
+    const finished = nonEmpty.filter((log) => log.isFinished);
+    const evictionOrder = [
       ...finished.filter((log) => log.isRepeatable),
       ...finished.filter((log) => !log.isRepeatable),
     ];
-    for (const log of inOrder) {
+    for (const log of evictionOrder) {
       if (totalBytes <= options.limitBytes) return;
       clearFrames(log);
     }
     while (totalBytes > options.limitBytes) {
-      const largest = all.reduce((best, log) =>
-        log.bytes > best.bytes ? log : best
+      const largest = nonEmpty.reduce((largestSoFar, log) =>
+        log.bytes > largestSoFar.bytes ? log : largestSoFar
       );
       dropFirst(largest);
     }
@@ -100,7 +101,7 @@
       const log = logs.get(attemptId);
       if (log === undefined) return;
       log.isFinished = true;
-      // The order of the map is the order of dropping: oldest end first.
+      // Map order is eviction order: the log that finished first goes first.
       logs.delete(attemptId);
       logs.set(attemptId, log);
     },
--- a/packages/anvilhinge/src/agent/mod.ts
+++ b/packages/anvilhinge/src/agent/mod.ts
@@ -1,4 +1,4 @@
-/** The agent role: composes its parts and runs its life cycle. */
+/** The agent role: composes its components and runs their lifecycle. */
 import * as nodeCrypto from "node:crypto";
 import * as random from "@anvilhinge/coordination/random";
 import * as awilix from "awilix";
@@ -31,23 +31,23 @@
   readonly engine?: engine.Engine;
   readonly store?: objectStore.ObjectStore;
   readonly logStream?: NodeJS.WritableStream;
-  /** Further takers of spans; tests pass a recorder's. */
+  /** Additional span processors; tests pass a recorder's. */
   readonly spanProcessors?: tracing.TracingOptions["spanProcessors"];
 }
 
-/** An agent that is running. */
+/** Handle of a running agent. */
 export interface RunningAgent {
   /** Address for entries as `host:port`. */
   readonly address: string;
-  /** Refuses new work, finishes what runs, then closes. */
+  /** Refuses new work, finishes the running attempts, then closes. */
   stop(): Promise<void>;
-  /** Closes at once. */
+  /** Closes immediately. */
   kill(): void;
-  /** Attempts that run, and finished ones that no entry has taken. */
+  /** Counts the running attempts and the undelivered finished ones. */
   countOpen(): number;
 }
 
-interface Parts {
+interface AgentComponents {
   readonly settings: process.AgentSettings;
   readonly abort: AbortController;
   readonly incarnation: string;
@@ -65,18 +65,18 @@
 
 const loadIntervalMs = 100;
 const expireIntervalMs = 1_000;
-const drainPollMs = 50;
-/** Longest wait at a stop for answers to be taken. */
-const takeWaitMs = 10_000;
-const platformTimeoutMs = 2_000;
+const drainPollIntervalMs = 50;
+/** Maximum time to wait for the delivery of answers when the agent stops. */
+const deliveryTimeoutMs = 10_000;
+const storeTimeoutMs = 2_000;
 const orderTimeoutMs = 2_000;
 
-/** Registers the parts of an agent. */
-function composeParts(
+/** Composes the components of an agent. */
+function composeAgent(
   settings: process.AgentSettings,
   adapters: AgentAdapters,
-): Parts {
-  const container = awilix.createContainer<Parts>({
+): AgentComponents {
+  const container = awilix.createContainer<AgentComponents>({
     injectionMode: awilix.InjectionMode.PROXY,
     strict: true,
   });
@@ -89,10 +89,12 @@
     random: awilix.asFunction(() =>
       random.createRandomSource(nodeCrypto.randomInt(2 ** 31))
     ).singleton(),
-    overloadGate: awilix.asFunction((parts: Parts) =>
-      overload.createOverloadGate(parts.engine, { clock: parts.scheduler })
+    overloadGate: awilix.asFunction((components: AgentComponents) =>
+      overload.createOverloadGate(components.engine, {
+        clock: components.scheduler,
+      })
     ).singleton(),
-    engine: awilix.asFunction(({ scheduler, abort }: Parts) =>
+    engine: awilix.asFunction(({ scheduler, abort }: AgentComponents) =>
       adapters.engine ?? engineHttp.createHttpEngine({
         baseUrl: settings.engine.url,
         loadIntervalMs,
@@ -103,41 +105,41 @@
     store: awilix.asFunction(() =>
       adapters.store ?? objectStoreHttp.createHttpObjectStore({
         baseUrl: settings.platform.objectStore,
-        timeoutMs: platformTimeoutMs,
+        timeoutMs: storeTimeoutMs,
       })
     ).singleton(),
-    orders: awilix.asFunction((parts: Parts) =>
+    orders: awilix.asFunction((components: AgentComponents) =>
       orders.createOrders({
         group: settings.group,
         checksFencing: settings.engine.checksFencing,
         engine: engineOrdersHttp.createHttpEngineOrders({
           baseUrl: settings.engine.url,
           timeoutMs: orderTimeoutMs,
-          signal: parts.abort.signal,
+          signal: components.abort.signal,
         }),
-        store: parts.store,
-        scheduler: parts.scheduler,
-        signal: parts.abort.signal,
+        store: components.store,
+        scheduler: components.scheduler,
+        signal: components.abort.signal,
         settleMs: orderTimeoutMs,
       })
     ).singleton(),
-    attempts: awilix.asFunction((parts: Parts) =>
+    attempts: awilix.asFunction((components: AgentComponents) =>
       attempts.createAttempts({
-        clock: parts.scheduler,
+        clock: components.scheduler,
         group: settings.group,
         rank: settings.rank,
-        incarnation: parts.incarnation,
-        readLoad: () => parts.engine.readLoad(),
-        isOverloaded: parts.overloadGate.isOverloaded,
+        incarnation: components.incarnation,
+        readLoad: () => components.engine.readLoad(),
+        isOverloaded: components.overloadGate.isOverloaded,
       })
     ).singleton(),
-    service: awilix.asFunction((parts: Parts) =>
+    service: awilix.asFunction((components: AgentComponents) =>
       service.createAgentService({
-        attempts: parts.attempts,
-        engine: parts.overloadGate.engine,
-        incarnation: parts.incarnation,
-        clock: parts.scheduler,
-        tracing: parts.tracing,
+        attempts: components.attempts,
+        engine: components.overloadGate.engine,
+        incarnation: components.incarnation,
+        clock: components.scheduler,
+        tracing: components.tracing,
       })
     ).singleton(),
     logger: awilix.asFunction(() =>
@@ -159,30 +161,30 @@
   return container.cradle;
 }
 
-/** Cancels orphans and drops old frames at intervals. */
-function expireRegularly(parts: Parts): void {
-  for (const attemptId of parts.attempts.expire()) {
-    parts.service.cancelEngine(attemptId);
+/** Cancels orphans and drops expired attempts at intervals. */
+function scheduleExpiry(components: AgentComponents): void {
+  for (const attemptId of components.attempts.expire()) {
+    components.service.cancelEngine(attemptId);
   }
-  parts.scheduler.schedule(() => expireRegularly(parts), {
+  components.scheduler.schedule(() => scheduleExpiry(components), {
     delayMs: expireIntervalMs,
-    signal: parts.abort.signal,
+    signal: components.abort.signal,
   });
 }
 
-/** Starts an agent; resolves when it listens. */
+/** Starts an agent; resolves once it accepts connections. */
 export async function startAgent(
   settings: process.AgentSettings,
   adapters: AgentAdapters = {},
 ): Promise<RunningAgent> {
-  const parts = composeParts(settings, adapters);
-  const { abort, attempts, logger, scheduler } = parts;
+  const components = composeAgent(settings, adapters);
+  const { abort, attempts, logger, scheduler } = components;
   const { signal } = abort;
   const address = await connectServer.startConnectServer({
     routes: (router) => {
-      parts.service.routes(router);
+      components.service.routes(router);
       const { group, rank } = settings;
-      const { orders } = parts;
+      const { orders } = components;
       orderService.registerOrderRoutes(router, { group, rank, orders });
     },
     ...settings.address,
@@ -190,60 +192,62 @@
     onFailure: (call, message) =>
       logger.warnOnce(call, `Call ${call} failed: ${message}`),
   }).catch((error) => {
-    // The reading of the engine's load would keep the process alive.
+    // The timer that reads the engine's load would keep the process alive.
     abort.abort();
     throw error;
   });
   const gate = assignmentGate.createAssignmentGate({
     group: settings.group,
-    store: parts.store,
+    store: components.store,
     onAssignment(received) {
       attempts.setAssignment(received);
-      parts.orders.raiseEpoch(received.epoch);
+      components.orders.raiseEpoch(received.epoch);
     },
   });
-  const following = {
+  const shared = {
     group: settings.group,
     rank: settings.rank,
-    incarnation: parts.incarnation,
+    incarnation: components.incarnation,
     listEntries: () => settings.entries,
     scheduler,
-    random: parts.random,
+    random: components.random,
     signal,
   };
   drainedReporter.startReporter({
-    ...following,
+    ...shared,
     attempts,
     send: entryClient.createReportSender({ signal }),
   });
   assignmentFollower.followAssignment({
-    ...following,
+    ...shared,
     onAssignment: gate.receive,
-    onDisconnect: (lost) => logger.warnOnce(lost, `Lost the entry at ${lost}`),
+    onDisconnect: (entry) =>
+      logger.warnOnce(entry, `Assignment stream from entry ${entry} ended`),
   });
-  expireRegularly(parts);
+  scheduleExpiry(components);
   logger.info(
     `Serves rank ${settings.rank} of group ${settings.group} on ${address}`,
   );
 
-  /** Whether an entry still reads an answer, or has yet to come for one. */
-  function hasReaders(): boolean {
-    return parts.service.countStreams() > 0 || attempts.countUndelivered() > 0;
+  /** Whether entries still read answers or have not fetched all of them. */
+  function hasUndeliveredAnswers(): boolean {
+    return components.service.countStreams() > 0 ||
+      attempts.countUndelivered() > 0;
   }
 
   return {
     address,
     async stop() {
       attempts.stop();
-      logger.info(`Finishes ${attempts.countRunning()} attempts`);
+      logger.info(`Stopping; ${attempts.countRunning()} attempts in flight`);
       while (attempts.countRunning() > 0) {
-        await delay.waitFor(scheduler, { delayMs: drainPollMs });
+        await delay.waitFor(scheduler, { delayMs: drainPollIntervalMs });
       }
-      const takeByMs = scheduler.now() + takeWaitMs;
-      while (hasReaders() && scheduler.now() < takeByMs) {
-        await delay.waitFor(scheduler, { delayMs: drainPollMs });
+      const deliverByMs = scheduler.now() + deliveryTimeoutMs;
+      while (hasUndeliveredAnswers() && scheduler.now() < deliverByMs) {
+        await delay.waitFor(scheduler, { delayMs: drainPollIntervalMs });
       }
-      await parts.tracing.stop();
+      await components.tracing.stop();
       abort.abort();
       logger.info("Stopped");
     },
--- a/packages/anvilhinge/src/agent/order_service.ts
+++ b/packages/anvilhinge/src/agent/order_service.ts
@@ -1,4 +1,4 @@
-/** Serves orders to the engine with connect-es; a thin layer over `orders`. */
+/** Order service of the agent with connect-es; a thin layer over `orders`. */
 import type * as connect from "@connectrpc/connect";
 import * as orderCodec from "../adapters/order_codec.ts";
 import * as ordersPb from "../gen/anvilhinge/v1/orders_pb.ts";
@@ -10,7 +10,7 @@
   readonly orders: Pick<orders.Orders, "submit">;
 }
 
-/** Registers the routes of orders. */
+/** Registers the routes of the order service. */
 export function registerOrderRoutes(
   router: connect.ConnectRouter,
   options: OrderServiceOptions,
--- a/packages/anvilhinge/src/agent/orders.ts
+++ b/packages/anvilhinge/src/agent/orders.ts
@@ -1,7 +1,8 @@
 /**
- * The path of orders to the engine beside the agent: carries out the effects of
- * the fencing gate, which learns its floor from the group's assignment and the
- * lease of the owner's duty in the object API.
+ * Passes orders to the engine beside the agent through the fencing gate, whose
+ * effects are executed here. The gate's floor is read from the object store: the
+ * epoch from the group's assignment, the fencing number from the lease of the
+ * owner's duty.
  */
 import * as fencing from "@anvilhinge/coordination/fencing";
 import * as leaseRecord from "@anvilhinge/coordination/lease_record";
@@ -21,14 +22,14 @@
   readonly store: Pick<objectStore.ObjectStore, "read">;
   readonly scheduler: scheduler.Scheduler;
   readonly signal: AbortSignal;
-  /** Longest time until a received order is in force, in milliseconds. */
+  /** Maximum time until a received order is in force, in milliseconds. */
   readonly settleMs?: number;
 }
 
 export interface Orders {
-  /** Resolves once the order has run, was refused or has an unknown outcome. */
+  /** Resolves once the order ran, was refused, or has an unknown outcome. */
   submit(order: Order): Promise<OrderAnswer>;
-  /** Refuses orders of earlier epochs from now on. */
+  /** Refuses all further orders of earlier epochs. */
   raiseEpoch(epoch: number): void;
 }
 
@@ -41,33 +42,33 @@
   engineOrders.EngineState
 >;
 
-/** Reads the lowest term that is accepted; undefined if it can't be learnt. */
+/** Reads the lowest accepted term; undefined if it can't be read. */
 export async function readFloor(
   store: Pick<objectStore.ObjectStore, "read">,
   group: string,
 ): Promise<fencing.Floor | undefined> {
-  const owned = await store.read(assignmentCodec.formatKey(group));
-  if (owned.kind !== "found") return undefined;
-  const record = assignmentCodec.parseAssignment(owned.object.value);
+  const assignmentRead = await store.read(assignmentCodec.formatKey(group));
+  if (assignmentRead.kind !== "found") return undefined;
+  const record = assignmentCodec.parseAssignment(assignmentRead.object.value);
   if (record === undefined) return undefined;
   const key = leaseKey.formatDutyLeaseKey(record.half, group);
-  const held = await store.read(key);
-  if (held.kind !== "found") return undefined;
-  const { value, version } = held.object;
+  const leaseRead = await store.read(key);
+  if (leaseRead.kind !== "found") return undefined;
+  const { value, version } = leaseRead.object;
   const lease = leaseRecord.parseLeaseRecord(value);
   if (lease === undefined) return undefined;
   const fencingNumber = leaseRecord.getFencingNumber(lease, version);
   return { epoch: record.epoch, fencingNumber };
 }
 
-/** Creates the path of orders of one agent. */
+/** Creates the order path of one agent. */
 export function createOrders(options: OrdersOptions): Orders {
   const { engine, scheduler } = options;
   const gate = fencing.createGate<
     engineOrders.EngineOrder,
     engineOrders.EngineState
   >({ checksFencing: options.checksFencing, settleMs: options.settleMs });
-  const waiting = new Map<string, ((answer: OrderAnswer) => void)[]>();
+  const pendingCallbacks = new Map<string, ((answer: OrderAnswer) => void)[]>();
 
   async function execute(effect: Effect): Promise<void> {
     switch (effect.kind) {
@@ -84,14 +85,14 @@
         return feed({ kind: "state", state: await engine.readState() });
       case "execute": {
         const { term, order } = effect.order;
-        const number = fencing.computeEngineFencingNumber(term);
-        const outcome = await engine.execute(order, number);
+        const engineNumber = fencing.computeEngineFencingNumber(term);
+        const outcome = await engine.execute(order, engineNumber);
         return feed({ kind: "executed", outcome });
       }
       case "answer": {
-        const callbacks = waiting.get(effect.id) ?? [];
+        const callbacks = pendingCallbacks.get(effect.id) ?? [];
         const callback = callbacks.shift();
-        if (callbacks.length === 0) waiting.delete(effect.id);
+        if (callbacks.length === 0) pendingCallbacks.delete(effect.id);
         callback?.(effect.answer);
         return;
       }
@@ -106,8 +107,8 @@
   return {
     submit: (order) =>
       new Promise((resolve) => {
-        const callbacks = waiting.get(order.id) ?? [];
-        waiting.set(order.id, [...callbacks, resolve]);
+        const callbacks = pendingCallbacks.get(order.id) ?? [];
+        pendingCallbacks.set(order.id, [...callbacks, resolve]);
         feed({ kind: "order", order });
       }),
     raiseEpoch: (epoch) => feed({ kind: "epoch", epoch }),
--- a/packages/anvilhinge/src/agent/overload.ts
+++ b/packages/anvilhinge/src/agent/overload.ts
@@ -1,37 +1,37 @@
-/** Feeds the admission of an agent with the work that its engine runs. */
+/** Admission control of an agent by the load of its engine. */
 import * as admission from "@anvilhinge/coordination/admission";
 import type * as clock from "@anvilhinge/coordination/clock";
 import type * as engine from "../ports/engine.ts";
 
 export interface OverloadGate {
-  /** The engine, with each start and end counted. */
+  /** The engine, wrapped to count the start and end of each request. */
   readonly engine: engine.Engine;
-  /** True when the attempt could not finish before its deadline. */
+  /** Whether the attempt could not finish before its deadline. */
   readonly isOverloaded: (request: admission.AdmissionRequest) => boolean;
 }
 
-/** Creates the gate over an engine. */
+/** Creates the overload gate of an engine. */
 export function createOverloadGate(
-  inner: engine.Engine,
+  wrapped: engine.Engine,
   options: { readonly clock: clock.Clock },
 ): OverloadGate {
-  const gate = admission.createAdmission({
+  const admissionControl = admission.createAdmission({
     clock: options.clock,
-    readLoad: inner.readLoad,
+    readLoad: wrapped.readLoad,
   });
 
   function start(request: engine.EngineRequest): void {
-    let isOpen = true;
-    gate.recordStart(request.priority);
+    let isRunning = true;
+    admissionControl.recordStart(request.priority);
 
     function end(): void {
-      if (!isOpen) return;
-      isOpen = false;
-      gate.recordEnd(request.priority);
+      if (!isRunning) return;
+      isRunning = false;
+      admissionControl.recordEnd(request.priority);
     }
 
     request.signal.addEventListener("abort", end, { once: true });
-    inner.start({
+    wrapped.start({
       ...request,
       onEvent(event) {
         if (event.kind === "end" || event.kind === "failed") end();
@@ -41,7 +41,8 @@
   }
 
   return {
-    engine: { ...inner, start },
-    isOverloaded: (request) => gate.decide(request).kind === "overloaded",
+    engine: { ...wrapped, start },
+    isOverloaded: (request) =>
+      admissionControl.decide(request).kind === "overloaded",
   };
 }
--- a/packages/anvilhinge/src/agent/ranks/map_rebalancer.ts
+++ b/packages/anvilhinge/src/agent/ranks/map_rebalancer.ts
@@ -1,7 +1,7 @@
 /**
- * The duty of the leading agent of a group: watches which experts are in
- * demand, plans a map that evens the ranks out, and switches the group to it.
- * Ends holds that another leader left behind.
+ * Work of a group's leading agent: observes the popularity of the experts,
+ * plans an expert map that balances the load of the ranks, and switches the
+ * group to that map. Also ends holds that another leader abandoned.
  */
 import * as boundedPlanner from "@anvilhinge/coordination/maps/bounded_planner";
 import * as countsWindow from "@anvilhinge/coordination/maps/counts_window";
@@ -19,79 +19,88 @@
 export interface MapRebalancerOptions {
   readonly engine: rankEngine.RankEngine;
   readonly experts: routing.ExpertSpec;
-  /** Requests that one rank works on at once. */
+  /** Requests that one rank runs concurrently. */
   readonly slots: number;
   readonly scheduler: scheduler.Scheduler;
   readonly logger: logger.Logger;
   readonly callRank: rankCallRouter.CallRank;
   readonly createVersion: mapVersions.CreateMapVersion;
-  /** Whether the epoch began after the process did. */
+  /** Whether the epoch began after the start of this process. */
   readonly isEpochNew: (epoch: number) => boolean;
-  /** Most experts that one rank copies for one switch. */
+  /** Maximum number of experts that one rank copies for one switch. */
   readonly maxCopiesPerRank: number;
 }
 
 export interface MapRebalancer {
   /**
-   * Takes one turn of the leader; resolves when it is over. Must not be called
-   * again before.
+   * Runs one iteration of the leader; resolves when it has finished. Must not
+   * be called while an iteration is in progress.
    */
   tick(own: rankPeers.RankStatus): Promise<void>;
-  /** Forgets what it counted, for an agent that no longer leads. */
+  /** Discards the collected counts of an agent that no longer leads. */
   reset(): void;
 }
 
-/** A rank's report and experts, read in one call. */
-type Collected = Extract<rankRpc.RankAnswer, { readonly kind: "experts" }>;
+/** Report and experts of a rank, read in one call. */
+type RankSnapshot = Extract<rankRpc.RankAnswer, { readonly kind: "experts" }>;
 
-/** By rank; undefined for a rank that did not answer. */
-type Collection = readonly (Collected | undefined)[];
+/** Snapshots by rank; undefined for a rank that did not answer. */
+type GroupSnapshot = readonly (RankSnapshot | undefined)[];
 
+/** Result of a switch round. */
 interface RoundResult {
   readonly outcome: switchRound.RoundOutcome;
   /** Time spent in each phase, in milliseconds. */
   readonly phaseMs: Readonly<Partial<Record<switchRound.RoundPhase, number>>>;
 }
 
+/** Expert map of the group and the states from which it was read. */
 interface GroupMap {
   readonly layers: rankOrders.MapLayers;
   readonly states: readonly rankOrders.RankState[];
 }
 
 const readTimeoutMs = 250;
-/** The same past a silent agent, whose engine's reports lag. */
+/**
+ * Timeout of a read that may bypass a silent agent; longer, because engines
+ * report to other machines with a lag.
+ */
 const urgentReadTimeoutMs = 800;
-/** The same for the first look at a group that stands still. */
+/** Timeout of the first read of all ranks of a stalled group. */
 const stalledReadTimeoutMs = 150;
-/** Time without a new pass after which a busy group is looked at for a hold. */
-const stallMs = 300;
-/** The same in passes, for a group whose passes take long. */
-const stallPasses = 4;
+/**
+ * Time without a new forward pass after which a busy group is checked for a
+ * hold.
+ */
+const stallThresholdMs = 300;
+/** Stall threshold in passes, for groups whose passes take long. */
+const stallThresholdPasses = 4;
 const orderTimeoutMs = 2_600;
 /**
- * Skew above which a switch repays its copies, for an idle and for a full rank:
- * a pass of few requests is short whatever the skew. 1.3 is the users' target.
+ * Skew above which a switch is worth its expert copies, for idle and for fully
+ * occupied ranks: a pass with few requests is short whatever the skew. 1.3 is
+ * the users' target.
  */
-const idleSkew = 2.2;
-const busySkew = 1.3;
-/** A plan is good enough this much below the skew that asks for one. */
-const enoughBelow = 0.2;
-/** Least part of the excess over the mean that a switch must take away. */
-const minExcessSaved = 0.4;
-/** Samples that must agree before a map is planned for them. */
-const minAgreeing = 2;
-/** Passes ahead at which a switch is set at most. */
+const idleSkewThreshold = 2.2;
+const busySkewThreshold = 1.3;
+/** Hysteresis: a plan suffices with a skew this far below the threshold. */
+const targetSkewMargin = 0.2;
+/** Minimum fraction of the load above the mean that a switch must remove. */
+const minExcessReduction = 0.4;
+/** Consecutive samples that must agree before a map is planned from them. */
+const minAgreeingSamples = 2;
+/** Maximum number of passes between the current pass and the switch. */
 const maxLeadPasses = 6;
-/** Passes more while answers to orders get lost: time for two repetitions. */
-const lossyLeadPasses = 2;
-/** Time for which a lost answer makes others likely. */
-const lossySpellMs = 5_000;
-/** Part of the longest time to arm that is believed after each switch. */
-const armingMemory = 0.8;
-/** Pause after a round that failed, in milliseconds. */
-const failurePauseMs = 300;
+/** Added to the lead after a lost answer: time for two retransmissions. */
+const lossLeadPasses = 2;
+/** Time for which one lost answer makes further losses likely. */
+const lossWindowMs = 5_000;
+/** Decay factor of the longest arming time, applied at each switch. */
+const armingDecayFactor = 0.8;
+/** Pause after a failed round, a rejected plan or a check for a hold. */
+const retryDelayMs = 300;
 
-/** Creates the duty of one agent. */
+/** Creates the map rebalancer of one agent. */
 export function createMapRebalancer(
   options: MapRebalancerOptions,
 ): MapRebalancer {
@@ -100,34 +109,39 @@
     layerCount: experts.sets,
     expertCount: experts.expertsPerSet,
   });
-  /** Longest late time to hold a pass and arm all ranks, and time of a pass. */
+  /** Decaying maximum of the time to hold a pass and arm all ranks. */
   let armingMs = 0;
+  /** Measured duration of a pass; 0 before the first measurement. */
   let passMs = 0;
-  let seenStep: { readonly step: number; readonly atMs: number } | undefined;
-  let lossyUntilMs = -Infinity;
+  let lastObservedStep:
+    | { readonly step: number; readonly atMs: number }
+    | undefined;
+  let lossUntilMs = -Infinity;
   let lastHeldStep: number | undefined;
-  let ledEpoch: number | undefined;
-  let countedEpoch: number | undefined;
+  let enteredEpoch: number | undefined;
+  let countsEpoch: number | undefined;
   let pausedUntilMs = -Infinity;
-  /** Pass of the last switch; the next round waits until it has begun. */
+  /** Pass of the last switch; no further round starts before that pass. */
   let switchStep = 0;
 
-  async function observe(): Promise<countsWindow.Popularity | undefined> {
-    const found = await engine.readCounts();
-    if (found === undefined) return undefined;
-    if (found.epoch !== countedEpoch) {
+  async function samplePopularity(): Promise<
+    countsWindow.Popularity | undefined
+  > {
+    const sample = await engine.readCounts();
+    if (sample === undefined) return undefined;
+    if (sample.epoch !== countsEpoch) {
       window.reset();
-      countedEpoch = found.epoch;
+      countsEpoch = sample.epoch;
     }
-    window.observe({ atMs: scheduler.now(), counts: found.counts });
+    window.observe({ atMs: scheduler.now(), counts: sample.counts });
     return window.estimate();
   }
 
-  /** Reads all ranks; those that don't answer are undefined. */
-  async function collect(
+  /** Reads all ranks; a rank that does not answer is undefined. */
+  async function collectSnapshots(
     own: rankPeers.RankStatus,
     callOptions: rankCallRouter.CallOptions,
-  ): Promise<Collection> {
+  ): Promise<GroupSnapshot> {
     const ranks = Array.from({ length: own.size }, (_, rank) => rank);
     const answers = await Promise.all(
       ranks.map((rank) =>
@@ -140,49 +154,54 @@
   }
 
   /**
-   * Joins what the ranks hold; undefined while they are not of one mind. A rank
-   * that is missing gets what no other holds.
+   * Merges the experts of all ranks into one map; undefined while the ranks
+   * differ in epoch or map version. A rank without a snapshot is assumed to hold
+   * the experts that no other rank holds.
    */
-  function joinMap(
-    collection: Collection,
+  function mergeMap(
+    snapshots: GroupSnapshot,
     own: rankPeers.RankStatus,
   ): GroupMap | undefined {
-    const version = collection.find((found) => found)?.experts.version;
-    const isOne = collection.every((found, rank) =>
-      found === undefined ||
-      (found.report.state.rank === rank &&
-        found.report.state.epoch === own.epoch &&
-        found.experts.epoch === own.epoch &&
-        found.experts.version === version)
+    const version = snapshots.find((snapshot) => snapshot)?.experts.version;
+    const isConsistent = snapshots.every((snapshot, rank) =>
+      snapshot === undefined ||
+      (snapshot.report.state.rank === rank &&
+        snapshot.report.state.epoch === own.epoch &&
+        snapshot.experts.epoch === own.epoch &&
+        snapshot.experts.version === version)
     );
-    if (!isOne) return undefined;
+    if (!isConsistent) return undefined;
     const layers = Array.from({ length: experts.sets }, (_, layer) => {
-      const held = collection.map((found) => found?.experts.experts[layer]);
-      const known = new Set(held.flatMap((list) => list ?? []));
-      const rest = Array.from(
+      const lists = snapshots.map((snapshot) =>
+        snapshot?.experts.experts[layer]
+      );
+      const reported = new Set(lists.flatMap((list) => list ?? []));
+      const missing = Array.from(
         { length: experts.expertsPerSet },
         (_, expert) => expert,
-      ).filter((expert) => !known.has(expert));
-      return held.map((list) => list ?? rest);
+      ).filter((expert) => !reported.has(expert));
+      return lists.map((list) => list ?? missing);
     });
-    const states = collection.flatMap((found) => found?.report.state ?? []);
+    const states = snapshots.flatMap((snapshot) =>
+      snapshot?.report.state ?? []
+    );
     return { layers, states };
   }
 
   function runRound(
     own: rankPeers.RankStatus,
     event: switchRound.RoundEvent,
-    /** Rank that is not waited for at first. */
+    /** Rank that is expected not to answer; its first read times out early. */
     silentRank?: number,
   ): Promise<RoundResult> {
     const phaseMs: Partial<Record<switchRound.RoundPhase, number>> = {};
-    let spared = silentRank;
+    let expectedSilentRank = silentRank;
     let phaseSinceMs = scheduler.now();
     const round = switchRound.createSwitchRound({
       ownRank: own.rank,
       rankCount: own.size,
       epoch: own.epoch,
-      computeLeadPasses: computeLead,
+      computeLeadPasses,
       lastHeldStep: lastHeldStep ?? 0,
       createVersion: options.createVersion,
       getLeaderRank: mapVersions.getLeaderRank,
@@ -206,14 +225,14 @@
           return resolve({ outcome: effect.outcome, phaseMs });
         }
         const { call, rank } = effect;
-        const isSilent = rank === spared;
-        if (isSilent) spared = undefined;
+        const isSilent = rank === expectedSilentRank;
+        if (isSilent) expectedSilentRank = undefined;
         const answer = await options.callRank(
           rank,
           effect.kind === "read"
             ? { kind: "report" }
             : { kind: "order", order: effect.order, epoch: own.epoch },
-          chooseWay(effect, round.getPhase(), isSilent),
+          chooseRoute(effect, round.getPhase(), isSilent),
         );
         feed(convertAnswer(answer, { call, rank }));
       }
@@ -222,38 +241,47 @@
     });
   }
 
-  /** Looks for a hold in a group that stands still, and ends it. */
+  /** Searches a stalled group for a hold and ends it. */
   async function endHold(own: rankPeers.RankStatus): Promise<void> {
-    pausedUntilMs = scheduler.now() + failurePauseMs;
-    const quick = { timeoutMs: stalledReadTimeoutMs, way: "agent" } as const;
-    const first = await collect(own, quick);
-    const collection = isEnough(first) ? first : await collect(own, {
-      timeoutMs: urgentReadTimeoutMs,
-      way: "either",
-    });
-    const held = findHeld(collection);
-    if (held === undefined && isEnough(collection)) return;
-    const map = isEnough(collection) ? joinMap(collection, own) : undefined;
+    pausedUntilMs = scheduler.now() + retryDelayMs;
+    const firstRead = {
+      timeoutMs: stalledReadTimeoutMs,
+      route: "agent",
+    } as const;
+    const first = await collectSnapshots(own, firstRead);
+    const snapshots = isConclusive(first)
+      ? first
+      : await collectSnapshots(own, {
+        timeoutMs: urgentReadTimeoutMs,
+        route: "either",
+      });
+    const held = findHeldState(snapshots);
+    if (held === undefined && isConclusive(snapshots)) return;
+    const map = isConclusive(snapshots) ? mergeMap(snapshots, own) : undefined;
     if (held?.heldStep === undefined || map === undefined) {
-      logger.warn("The group stands still and can't be looked through", {
+      logger.warn("The group is stalled and its state can't be determined", {
         group: own.group,
         epoch: own.epoch,
         stalledMs: Math.round(own.stalledMs),
-        silentRanks: listSilent(collection),
+        silentRanks: listSilentRanks(snapshots),
       });
       return;
     }
     const { rank, heldStep } = held;
     const details = { group: own.group, epoch: own.epoch, rank, heldStep };
-    const [silentRank] = listSilent(collection);
-    logger.warn("Ends a hold that nobody follows", { ...details, silentRank });
+    const [silentRank] = listSilentRanks(snapshots);
+    logger.warn("Ending an abandoned hold", { ...details, silentRank });
     const { outcome, phaseMs } = await runRound(own, {
       kind: "clear",
       heldRank: rank,
       heldStep,
       currentLayers: map.layers,
     }, silentRank);
-    logger.info("Ended a hold", { ...details, phaseMs, outcome });
+    logger.info("Finished ending an abandoned hold", {
+      ...details,
+      phaseMs,
+      outcome,
+    });
   }
 
   async function switchMap(
@@ -264,12 +292,21 @@
       readonly allowedSkew: number;
     },
   ): Promise<void> {
-    const plan = planCheapest(map, popularity, allowedSkew - enoughBelow);
+    const plan = planFewestCopies(
+      map,
+      popularity,
+      allowedSkew - targetSkewMargin,
+    );
     const { skewBefore, skewAfter, copies } = plan;
-    const saved = (skewBefore - skewAfter) / Math.max(1e-9, skewBefore - 1);
-    if (copies === 0 || saved < minExcessSaved) {
-      pausedUntilMs = scheduler.now() + failurePauseMs;
-      logger.debug("Keeps the map", { skewBefore, skewAfter, copies });
+    const excessReduction = (skewBefore - skewAfter) /
+      Math.max(1e-9, skewBefore - 1);
+    if (copies === 0 || excessReduction < minExcessReduction) {
+      pausedUntilMs = scheduler.now() + retryDelayMs;
+      logger.debug("Planned map gains too little; keeping the current map", {
+        skewBefore,
+        skewAfter,
+        copies,
+      });
       return;
     }
     const startedAtMs = scheduler.now();
@@ -282,14 +319,14 @@
     const isSwitched = outcome.kind === "switched";
     const { holding = 0, opening = 0, arming = 0 } = phaseMs;
     const spentMs = holding + opening + arming;
-    armingMs = Math.max(spentMs, armingMemory * armingMs);
+    armingMs = Math.max(spentMs, armingDecayFactor * armingMs);
     if (isSwitched) switchStep = outcome.step;
-    else pausedUntilMs = scheduler.now() + failurePauseMs;
-    logger.info(isSwitched ? "Switched the map" : "Kept the map", {
+    else pausedUntilMs = scheduler.now() + retryDelayMs;
+    logger.info(isSwitched ? "Switched the map" : "Map switch aborted", {
       group: own.group,
       epoch: own.epoch,
-      skewBefore: trimDigits(skewBefore),
-      skewAfter: trimDigits(skewAfter),
+      skewBefore: roundToHundredths(skewBefore),
+      skewAfter: roundToHundredths(skewAfter),
       copies,
       tookMs: Math.round(scheduler.now() - startedAtMs),
       phaseMs,
@@ -297,11 +334,11 @@
     });
   }
 
-  /** Plans with the fewest copies a rank that make the ranks even enough. */
-  function planCheapest(
+  /** Plans with the fewest copies per rank that reach the target skew. */
+  function planFewestCopies(
     map: GroupMap,
     { shares }: countsWindow.Popularity,
-    enoughSkew: number,
+    targetSkew: number,
   ): boundedPlanner.BoundedPlan {
     for (let copies = 1;; copies += 1) {
       const plan = boundedPlanner.planBounded({
@@ -311,47 +348,48 @@
         maxNewPerLayer: experts.maxNewPerRank,
         maxNewPerRank: copies,
       });
-      const isEnough = plan.skewAfter <= enoughSkew ||
+      const isSufficient = plan.skewAfter <= targetSkew ||
         copies >= options.maxCopiesPerRank;
-      if (isEnough) return plan;
+      if (isSufficient) return plan;
     }
   }
 
   /**
-   * Passes that arming takes: a nearer pass would have to wait for the last
-   * rank, a later one keeps the old map in use for longer. Answers that get
-   * lost come in spells, so one that was lost makes more of them likely.
+   * Computes how many passes ahead a switch is scheduled. With a shorter lead
+   * than arming takes, the pass has to wait for the last rank; a longer lead
+   * keeps the old map in use for longer. Answers are lost in bursts, so one lost
+   * answer makes further losses likely.
    */
-  function computeLead(mostSendings: number): number {
+  function computeLeadPasses(maxSendCount: number): number {
     const nowMs = scheduler.now();
-    if (mostSendings > 1) lossyUntilMs = nowMs + lossySpellMs;
-    const added = nowMs < lossyUntilMs ? lossyLeadPasses : 0;
-    if (passMs === 0) return 2 + added;
-    const passes = 1 + Math.floor(armingMs / passMs) + added;
+    if (maxSendCount > 1) lossUntilMs = nowMs + lossWindowMs;
+    const addedPasses = nowMs < lossUntilMs ? lossLeadPasses : 0;
+    if (passMs === 0) return 2 + addedPasses;
+    const passes = 1 + Math.floor(armingMs / passMs) + addedPasses;
     return Math.min(maxLeadPasses, passes);
   }
 
-  /** Measures the time of a pass by the steps of the own rank. */
+  /** Measures the duration of a pass from the steps of this agent's rank. */
   function observePass({ step }: rankPeers.RankStatus): void {
     const nowMs = scheduler.now();
-    const before = seenStep;
-    if (before === undefined || step < before.step) {
-      seenStep = { step, atMs: nowMs };
-    } else if (step > before.step + 3) {
-      passMs = (nowMs - before.atMs) / (step - before.step);
-      seenStep = { step, atMs: nowMs };
+    const previous = lastObservedStep;
+    if (previous === undefined || step < previous.step) {
+      lastObservedStep = { step, atMs: nowMs };
+    } else if (step > previous.step + 3) {
+      passMs = (nowMs - previous.atMs) / (step - previous.step);
+      lastObservedStep = { step, atMs: nowMs };
     }
   }
 
-  /** Notes which passes of this epoch the process may have held. */
+  /** Sets a bound on the passes of this epoch that this rank may have held. */
   function enterEpoch(own: rankPeers.RankStatus): void {
-    if (ledEpoch === own.epoch) return;
-    // Orders of an earlier epoch have no effect; those that this rank gave in
-    // this epoch before the process started are not known.
+    if (enteredEpoch === own.epoch) return;
+    // Orders of an earlier epoch have no effect. After a restart within the
+    // epoch, the orders that this rank gave before the restart are unknown.
     lastHeldStep = options.isEpochNew(own.epoch)
       ? 0
       : own.step + switchRound.maxAheadPasses;
-    ledEpoch = own.epoch;
+    enteredEpoch = own.epoch;
     switchStep = 0;
   }
 
@@ -359,34 +397,36 @@
     async tick(own) {
       enterEpoch(own);
       observePass(own);
-      const popularity = await observe();
+      const popularity = await samplePopularity();
       const isDue = popularity !== undefined &&
-        popularity.agreeingSamples >= minAgreeing && own.step >= switchStep &&
+        popularity.agreeingSamples >= minAgreeingSamples &&
+        own.step >= switchStep &&
         scheduler.now() >= pausedUntilMs;
-      const isStalled =
-        own.stalledMs >= Math.max(stallMs, stallPasses * passMs);
+      const isStalled = own.stalledMs >=
+        Math.max(stallThresholdMs, stallThresholdPasses * passMs);
       if (isStalled || own.heldStep !== undefined) {
         if (scheduler.now() >= pausedUntilMs) await endHold(own);
         return;
       }
       if (popularity === undefined || !isDue) return;
-      const collection = await collect(own, {
+      const snapshots = await collectSnapshots(own, {
         timeoutMs: readTimeoutMs,
-        way: "agent",
+        route: "agent",
       });
-      const collected = collection.flatMap((found) => found ?? []);
-      const map = collected.length === own.size
-        ? joinMap(collection, own)
+      const answered = snapshots.flatMap((snapshot) => snapshot ?? []);
+      const map = answered.length === own.size
+        ? mergeMap(snapshots, own)
         : undefined;
       const isFree = map?.states.every(({ heldStep }) =>
         heldStep === undefined
       );
       if (map === undefined || !isFree) {
-        pausedUntilMs = scheduler.now() + failurePauseMs;
+        pausedUntilMs = scheduler.now() + retryDelayMs;
         return;
       }
-      const occupancy = computeOccupancy(collected, options.slots);
-      const allowedSkew = idleSkew + occupancy * (busySkew - idleSkew);
+      const occupancy = computeOccupancy(answered, options.slots);
+      const allowedSkew = idleSkewThreshold +
+        occupancy * (busySkewThreshold - idleSkewThreshold);
       const { shares } = popularity;
       const skew = boundedPlanner.measureSkew({ map, shares });
       if (skew <= allowedSkew) return;
@@ -398,45 +438,49 @@
   };
 }
 
-/** Chooses how a rank is reached: once a pass is held, the group waits. */
-function chooseWay(
+/** Chooses the route to a rank: calls are urgent once a pass is held. */
+function chooseRoute(
   effect: Exclude<switchRound.RoundEffect, { readonly kind: "finish" }>,
   phase: switchRound.RoundPhase,
   isSilent: boolean,
 ): rankCallRouter.CallOptions {
   if (phase === "preparing") {
     const timeoutMs = effect.kind === "read" ? readTimeoutMs : orderTimeoutMs;
-    return { timeoutMs, way: "agent" };
+    return { timeoutMs, route: "agent" };
   }
   if (effect.kind === "read") {
     return isSilent
-      ? { timeoutMs: stalledReadTimeoutMs, way: "agent" }
-      : { timeoutMs: urgentReadTimeoutMs, way: "either" };
+      ? { timeoutMs: stalledReadTimeoutMs, route: "agent" }
+      : { timeoutMs: urgentReadTimeoutMs, route: "either" };
   }
-  // A hold at another rank: no one machine that stops then can keep it there.
-  const way = effect.order.kind === "hold" ? "engine" : "either";
-  return { timeoutMs: orderTimeoutMs, way };
+  // The hold order goes straight to the engine of another rank, so that no
+  // single machine that stops at this point can keep the hold in place.
+  const route = effect.order.kind === "hold" ? "engine" : "either";
+  return { timeoutMs: orderTimeoutMs, route };
 }
 
-function findHeld(collection: Collection): rankOrders.RankState | undefined {
-  return collection
-    .flatMap((found) => found?.report.state ?? [])
+function findHeldState(
+  snapshots: GroupSnapshot,
+): rankOrders.RankState | undefined {
+  return snapshots
+    .flatMap((snapshot) => snapshot?.report.state ?? [])
     .find(({ heldStep }) => heldStep !== undefined);
 }
 
-function listSilent(collection: Collection): readonly number[] {
-  return [...collection.keys()].filter((rank) =>
-    collection[rank] === undefined
-  );
+function listSilentRanks(snapshots: GroupSnapshot): readonly number[] {
+  return [...snapshots.keys()].filter((rank) => snapshots[rank] === undefined);
 }
 
-/** Whether a hold could be ended, or is known not to exist. */
-function isEnough(collection: Collection): boolean {
-  const silent = listSilent(collection);
-  const held = findHeld(collection);
-  const leader = held &&
-    switchRound.getHoldLeader(held.rank, collection.length);
-  return silent.every((rank) => rank === leader);
+/**
+ * Whether the snapshots suffice to end a hold or to rule one out: at most the
+ * leader that placed the hold may be silent.
+ */
+function isConclusive(snapshots: GroupSnapshot): boolean {
+  const silent = listSilentRanks(snapshots);
+  const held = findHeldState(snapshots);
+  const holdLeader = held &&
+    switchRound.getHoldLeader(held.rank, snapshots.length);
+  return silent.every((rank) => rank === holdLeader);
 }
 
 function convertAnswer(
@@ -455,18 +499,18 @@
   }
 }
 
-/** Part of the ranks' places that are taken. */
+/** Returns the fraction of the ranks' slots that are in use. */
 function computeOccupancy(
-  collected: readonly Collected[],
+  answered: readonly RankSnapshot[],
   slots: number,
 ): number {
-  const running = collected.reduce(
+  const running = answered.reduce(
     (sum, { report }) => sum + report.running,
     0,
   );
-  return Math.min(1, running / Math.max(1, slots * collected.length));
+  return Math.min(1, running / Math.max(1, slots * answered.length));
 }
 
-function trimDigits(value: number): number {
+function roundToHundredths(value: number): number {
   return Math.round(value * 100) / 100;
 }
--- a/packages/anvilhinge/src/agent/ranks/order_runner.ts
+++ b/packages/anvilhinge/src/agent/ranks/order_runner.ts
@@ -1,4 +1,4 @@
-/** Brings orders at one engine to an end: runs the settling machine on it. */
+/** Runs orders at one engine until their outcome is settled. */
 import * as orderSettler from "@anvilhinge/coordination/maps/order_settler";
 import type * as rankOrders from "@anvilhinge/coordination/maps/rank_orders";
 import type * as rankEngine from "../../ports/rank_engine.ts";
@@ -9,14 +9,14 @@
   readonly scheduler: scheduler.Scheduler;
   readonly order: rankOrders.RankOrder;
   readonly epoch: number;
-  /** Time after which the order is given up, in milliseconds. */
+  /** Timeout of the order, in milliseconds. */
   readonly timeoutMs: number;
 }
 
-/** Sendings of one order; a third of them may get lost in a fault. */
-const maxSendings = 12;
+/** Maximum sends of one order; a fault may lose a third of them. */
+const maxSends = 12;
 
-/** Runs one order; resolves to what became of it. */
+/** Runs one order; resolves to its outcome. */
 export function runOrder(
   options: RunOrderOptions,
 ): Promise<rankOrders.OrderOutcome> {
@@ -24,7 +24,7 @@
   const settler = orderSettler.createOrderSettler({
     order,
     epoch,
-    maxSendAttempts: maxSendings,
+    maxSendAttempts: maxSends,
   });
   const abort = new AbortController();
 
--- a/packages/anvilhinge/src/agent/ranks/rank_agent.ts
+++ b/packages/anvilhinge/src/agent/ranks/rank_agent.ts
@@ -1,7 +1,7 @@
 /**
- * The work of an agent beside one rank: watches the engine, tells the other
- * agents of it, carries out the orders of the group's leader, and leads itself
- * when its turn comes.
+ * The agent beside one rank: polls the engine, sends its status to the other
+ * agents, executes the orders of the group's leader, and runs the leader's work
+ * while it leads the group itself.
  */
 import * as mapVersions from "@anvilhinge/coordination/maps/map_versions";
 import type * as datagrams from "../../adapters/datagrams.ts";
@@ -16,10 +16,10 @@
 import * as rankPeers from "./rank_peers.ts";
 import * as rankCallRouter from "./rank_call_router.ts";
 
-/** What the leader must know of the group's engines. */
+/** Properties of the group's engines that the leader needs. */
 export interface GroupSpec
   extends Pick<mapRebalancer.MapRebalancerOptions, "experts" | "slots"> {
-  /** Age that reports have that are read from another machine. */
+  /** Maximum age of a report that is read from another machine. */
   readonly reportLagMs: number;
 }
 
@@ -34,25 +34,25 @@
   | rankRpc.AnswerMessage;
 
 export interface RankAgentOptions {
-  /** Engine on the own machine. */
+  /** Engine on the local machine. */
   readonly engine: rankEngine.RankEngine;
-  /** Address of that engine, as `host:port`. */
+  /** Address of the local engine, as `host:port`. */
   readonly engineAddress: string;
-  /** Opens the engine of another agent. */
+  /** Opens the engine beside another agent. */
   readonly openEngine: (address: string) => rankEngine.RankEngine;
   readonly sockets: datagrams.Datagrams;
   readonly scheduler: scheduler.Scheduler;
   readonly logger: logger.Logger;
   /** Distinguishes this process from earlier ones of the same rank. */
   readonly incarnation: string;
-  /** False when the process was started again on its machine. */
+  /** False when the process was restarted on its machine. */
   readonly isFirstStart: boolean;
   readonly readWallMs: () => number;
-  /** Returns undefined while it is not known. */
+  /** Returns undefined until the spec has been read from the object store. */
   readonly getSpec: () => GroupSpec | undefined;
   /** Lists the addresses at which other agents may listen. */
   readonly listAddresses: () => readonly string[];
-  /** Ends all work. */
+  /** Stops the agent. */
   readonly signal: AbortSignal;
 }
 
@@ -60,30 +60,30 @@
   handleMessage(message: RankMessage, from: string): void;
 }
 
-/** Time between two looks at the own engine. */
-const statusTurnMs = 100;
-/** Turns between two statuses to all ranks, for the ranks that may lead next. */
-const candidateTurns = 1;
-/** The same for all others. */
-const helloTurns = 10;
-/** Time between two turns of the leader; about a pass. */
-const leaderTurnMs = 50;
+/** Interval between reads of the local engine. */
+const statusIntervalMs = 100;
+/** Interval between status messages of the ranks that may lead next. */
+const candidateStatusTicks = 1;
+/** Interval between status messages of all other ranks. */
+const otherStatusTicks = 10;
+/** Interval between iterations of the leader; about one forward pass. */
+const leaderIntervalMs = 50;
 const maxCopiesPerRank = 2;
-/** Time that is waited beyond the age that reports are said to have. */
-const reportLagSlackMs = 50;
+/** Margin that is added to the specified maximum lag of reports. */
+const reportLagMarginMs = 50;
 const defaultReportLagMs = 300;
 
-/** Whether a datagram holds a message for an agent. */
+/** Whether a datagram contains a message for an agent. */
 export function isRankMessage(message: unknown): message is RankMessage {
   const kind = (message as { readonly kind?: unknown } | null)?.kind;
   return kind === "status" || kind === "call" || kind === "answer";
 }
 
-/** Starts the work of one agent. */
+/** Starts one agent. */
 export function startRankAgent(options: RankAgentOptions): RankAgent {
   const { engine, scheduler, signal, sockets, logger } = options;
   const peers = rankPeers.createRankPeers({ clock: scheduler });
-  const passes = stallDetector.createStallDetector();
+  const stalls = stallDetector.createStallDetector();
   const calls = rankRpc.createRankRpc({
     engine,
     scheduler,
@@ -98,23 +98,27 @@
       remoteEngine.createRemoteEngine({
         engine: options.openEngine(address),
         scheduler,
-        reportLagMs: reportLagSlackMs +
+        reportLagMs: reportLagMarginMs +
           (options.getSpec()?.reportLagMs ?? defaultReportLagMs),
       }),
   });
-  let duty: mapRebalancer.MapRebalancer | undefined;
-  let dutyRank: number | undefined;
-  /** Epoch that was open when the process first looked. */
+  let rebalancer: mapRebalancer.MapRebalancer | undefined;
+  let ownRank: number | undefined;
+  /** Epoch that was open at the first read of the engine. */
   let firstOpenEpoch: number | undefined;
-  let turns = 0;
+  let tickCount = 0;
   let isLeading = false;
 
   function sendStatus(status: rankPeers.RankStatus): void {
     const message: StatusMessage = { kind: "status", status };
-    const interval = peers.isCandidate() ? candidateTurns : helloTurns;
-    if (turns % interval !== 0) return;
-    const heard = peers.listLive().map(({ address }) => address);
-    for (const address of new Set([...options.listAddresses(), ...heard])) {
+    const interval = peers.isCandidate()
+      ? candidateStatusTicks
+      : otherStatusTicks;
+    if (tickCount % interval !== 0) return;
+    const live = peers.listLive().map(({ address }) => address);
+    for (
+      const address of new Set([...options.listAddresses(), ...live])
+    ) {
       sockets.send(message, address);
     }
   }
@@ -123,12 +127,12 @@
     return options.isFirstStart || epoch !== firstOpenEpoch;
   }
 
-  async function takeTurn(): Promise<void> {
+  async function updateStatus(): Promise<void> {
     const report = await engine.readReport();
     if (report === undefined) return;
-    turns += 1;
+    tickCount += 1;
     const { state, group, size } = report;
-    if (turns === 1 && state.isOpen) firstOpenEpoch = state.epoch;
+    if (tickCount === 1 && state.isOpen) firstOpenEpoch = state.epoch;
     const status: rankPeers.RankStatus = {
       group,
       size,
@@ -137,7 +141,7 @@
       canLead: state.isOpen && options.getSpec() !== undefined,
       heldStep: state.heldStep,
       step: state.step,
-      stalledMs: passes.observe({
+      stalledMs: stalls.observe({
         atMs: scheduler.now(),
         epoch: state.epoch,
         step: state.step,
@@ -147,43 +151,43 @@
     };
     peers.setOwn(status);
     sendStatus(status);
-    noteLeading(status);
+    updateLeadership(status);
   }
 
-  function noteLeading(status: rankPeers.RankStatus): void {
-    const leads = peers.isLeading();
-    if (leads !== isLeading) {
-      isLeading = leads;
-      logger.info(leads ? "Leads the group" : "No longer leads the group", {
+  function updateLeadership(status: rankPeers.RankStatus): void {
+    const isElected = peers.isLeading();
+    if (isElected !== isLeading) {
+      isLeading = isElected;
+      logger.info(isElected ? "Became the leader" : "No longer the leader", {
         group: status.group,
         rank: status.rank,
         epoch: status.epoch,
         live: peers.listLive().length + 1,
       });
     }
-    if (!leads) duty?.reset();
+    if (!isElected) rebalancer?.reset();
   }
 
-  /** Takes turns while this agent leads; its statuses go on meanwhile. */
-  async function lead(): Promise<void> {
+  /** Runs leader iterations while this agent leads, beside the status loop. */
+  async function runLeaderLoop(): Promise<void> {
     while (!signal.aborted) {
       const status = peers.getOwn();
       const spec = options.getSpec();
       if (isLeading && status !== undefined && spec !== undefined) {
-        await getDuty(status, spec).tick(status);
+        await getRebalancer(status, spec).tick(status);
       }
-      await delay.waitFor(scheduler, { delayMs: leaderTurnMs, signal });
+      await delay.waitFor(scheduler, { delayMs: leaderIntervalMs, signal });
     }
   }
 
-  function getDuty(
+  function getRebalancer(
     status: rankPeers.RankStatus,
     group: GroupSpec,
   ): mapRebalancer.MapRebalancer {
-    // Versions carry the rank, which another epoch may change.
-    if (duty !== undefined && dutyRank === status.rank) return duty;
-    dutyRank = status.rank;
-    duty = mapRebalancer.createMapRebalancer({
+    // Map versions contain the rank, which may change with the epoch.
+    if (rebalancer !== undefined && ownRank === status.rank) return rebalancer;
+    ownRank = status.rank;
+    rebalancer = mapRebalancer.createMapRebalancer({
       engine,
       experts: group.experts,
       slots: group.slots,
@@ -197,18 +201,18 @@
       isEpochNew,
       maxCopiesPerRank,
     });
-    return duty;
+    return rebalancer;
   }
 
-  async function takeTurns(): Promise<void> {
+  async function runStatusLoop(): Promise<void> {
     while (!signal.aborted) {
-      await takeTurn();
-      await delay.waitFor(scheduler, { delayMs: statusTurnMs, signal });
+      await updateStatus();
+      await delay.waitFor(scheduler, { delayMs: statusIntervalMs, signal });
     }
   }
 
-  void takeTurns();
-  void lead();
+  void runStatusLoop();
+  void runLeaderLoop();
   return {
     handleMessage(message, from) {
       switch (message.kind) {
--- a/packages/anvilhinge/src/agent/ranks/rank_call_router.ts
+++ b/packages/anvilhinge/src/agent/ranks/rank_call_router.ts
@@ -1,26 +1,26 @@
 /**
- * Reaches the ranks of a group: through the agent beside each, or straight at
- * the engine of a rank whose agent is silent. A pass that is held stops the
- * whole group, so that its end must not depend on each agent.
+ * Routes calls to the ranks of a group: through the agent beside the rank, or
+ * directly to the engine of a rank whose agent is silent. A held forward pass
+ * stops the whole group, so ending a hold must not depend on every agent.
  */
 import type * as rankEngine from "../../ports/rank_engine.ts";
 import type * as scheduler from "../../ports/scheduler.ts";
 import * as rankRpc from "./rank_rpc.ts";
 import type * as rankPeers from "./rank_peers.ts";
 
-/** The way to a rank. */
+/** Route of a call to a rank. */
 export type CallRoute =
   | "agent"
-  /** Its agent, and straight to the engine when that is silent. */
+  /** Through the agent, and directly to the engine if the agent is silent. */
   | "either"
   | "engine";
 
 export interface CallOptions {
   readonly timeoutMs: number;
-  readonly way: CallRoute;
+  readonly route: CallRoute;
 }
 
-/** Calls a rank; resolves to undefined when it did not answer in time. */
+/** Calls a rank; resolves to undefined when the call times out. */
 export type CallRank = (
   rank: number,
   call: rankRpc.RankCall,
@@ -31,30 +31,30 @@
   readonly calls: rankRpc.RankRpc;
   readonly peers: rankPeers.RankPeers;
   readonly scheduler: scheduler.Scheduler;
-  /** Opens the engine of another agent; its reads are never outdated. */
+  /** Opens the engine beside another agent; its reads are never stale. */
   readonly openEngine: (address: string) => rankEngine.RankEngine;
 }
 
 /**
- * Time in which an agent answers an urgent call unless its process stands
- * still: several sendings and the engine's answer.
+ * Time in which an agent answers an urgent call unless its process is stalled:
+ * several retransmissions and the engine's answer.
  */
-const agentAnswerMs = 120;
+const agentAnswerTimeoutMs = 120;
 
-/** Creates the calls of a leader to its ranks. */
+/** Creates the function with which a leader calls the ranks of its group. */
 export function createRankCallRouter(
   { calls, peers, scheduler, openEngine }: RankCallRouterOptions,
 ): CallRank {
   const engines = new Map<string, rankEngine.RankEngine>();
 
   function getEngine(address: string): rankEngine.RankEngine {
-    const known = engines.get(address);
-    const engine = known ?? openEngine(address);
+    const cached = engines.get(address);
+    const engine = cached ?? openEngine(address);
     engines.set(address, engine);
     return engine;
   }
 
-  function askEngine(
+  function sendToEngine(
     { status }: rankPeers.RankPeer,
     call: rankRpc.RankCall,
   ): Promise<rankRpc.RankAnswer> {
@@ -62,27 +62,27 @@
     return rankRpc.executeCall(call, { engine, scheduler });
   }
 
-  function askEither(
+  function sendToEither(
     peer: rankPeers.RankPeer,
     call: rankRpc.RankCall,
     timeoutMs: number,
   ): Promise<rankRpc.RankAnswer | undefined> {
     return new Promise((resolve) => {
-      const answered = new AbortController();
-      const { signal } = answered;
+      const abort = new AbortController();
+      const { signal } = abort;
       function finish(answer: rankRpc.RankAnswer | undefined): void {
-        answered.abort();
+        abort.abort();
         resolve(answer);
       }
-      function askDirectly(): void {
-        // Both may carry an order out: repetitions are harmless.
-        void askEngine(peer, call).then(finish);
+      function sendDirectly(): void {
+        // The agent may execute the order too: repeated orders are harmless.
+        void sendToEngine(peer, call).then(finish);
       }
       void calls.call(peer.address, call, { timeoutMs }).then((answer) => {
         if (answer !== undefined) finish(answer);
       });
-      const delayMs = peers.isLive(peer) ? agentAnswerMs : 0;
-      scheduler.schedule(askDirectly, { delayMs, signal });
+      const delayMs = peers.isLive(peer) ? agentAnswerTimeoutMs : 0;
+      scheduler.schedule(sendDirectly, { delayMs, signal });
       scheduler.schedule(() => finish(undefined), {
         delayMs: timeoutMs,
         signal,
@@ -90,19 +90,19 @@
     });
   }
 
-  return async (rank, call, { timeoutMs, way }) => {
+  return async (rank, call, { timeoutMs, route }) => {
     if (rank === peers.getOwn()?.rank) return await calls.execute(call);
     const peer = peers.findLastSeen(rank);
     if (peer === undefined) return undefined;
-    switch (way) {
+    switch (route) {
       case "agent":
         return peers.isRecent(peer)
           ? await calls.call(peer.address, call, { timeoutMs })
           : undefined;
       case "either":
-        return await askEither(peer, call, timeoutMs);
+        return await sendToEither(peer, call, timeoutMs);
       case "engine":
-        return await askEngine(peer, call);
+        return await sendToEngine(peer, call);
     }
   };
 }
--- a/packages/anvilhinge/src/agent/ranks/rank_peers.ts
+++ b/packages/anvilhinge/src/agent/ranks/rank_peers.ts
@@ -1,20 +1,21 @@
 /**
- * The agents of one group as one of them knows them, and which of them leads:
- * the lowest rank that may lead and was heard of lately. Two may lead at once;
- * the rounds allow for it.
+ * The agents of one group as seen by one of them, and the choice of the leader:
+ * the lowest rank that may lead and whose status arrived recently. Two agents
+ * may lead at once; switch rounds tolerate that.
  */
 import type * as clock from "@anvilhinge/coordination/clock";
 
-/** What an agent tells the others of its rank. */
+/** Status of a rank that its agent sends to the other agents. */
 export interface RankStatus {
   readonly group: string;
   readonly size: number;
   readonly rank: number;
   readonly epoch: number;
-  /** False for an agent that must not hold passes yet. */
+  /** False while the agent must not hold forward passes. */
   readonly canLead: boolean;
+  /** Pass that is held at the rank. */
   readonly heldStep: number | undefined;
-  /** Last pass that was begun. */
+  /** Last pass that began. */
   readonly step: number;
   /** Time since the last pass began, in milliseconds; 0 without requests. */
   readonly stalledMs: number;
@@ -32,15 +33,15 @@
   setOwn(status: RankStatus): void;
   getOwn(): RankStatus | undefined;
   record(status: RankStatus, address: string): void;
-  /** Agents of the own group that were heard of lately, by rank. */
+  /** Lists the live agents of this agent's group, sorted by rank. */
   listLive(): readonly RankPeer[];
-  /** Whether the peer was heard of lately, by the measure for its rank. */
+  /** Whether the peer's last status is within the timeout for its rank. */
   isLive(peer: RankPeer): boolean;
-  /** Whether the peer was heard of within the longer time. */
+  /** Whether the peer's last status is within `peerTimeoutMs`. */
   isRecent(peer: RankPeer): boolean;
-  /** Returns the last agent of a rank in the present epoch, live or not. */
+  /** Returns the agent last seen at a rank in this epoch, live or not. */
   findLastSeen(rank: number): RankPeer | undefined;
-  /** Whether this rank tells all others of itself often. */
+  /** Whether this rank may lead next and sends its status often. */
   isCandidate(): boolean;
   isLeading(): boolean;
 }
@@ -48,59 +49,59 @@
 export interface RankPeersOptions {
   readonly clock: clock.Clock;
   /**
-   * Silence after which a candidate counts as gone, in milliseconds; four of
-   * its messages. A leader that is taken over too soon does no harm.
+   * Timeout after which a candidate is considered failed, in milliseconds: four
+   * of its status messages. Replacing a leader too early does no harm.
    * @default 450
    */
   readonly candidateTimeoutMs?: number;
   /**
-   * The same for the others, which say something less often.
+   * Timeout of the other peers, which send their status less often.
    * @default 3000
    */
   readonly peerTimeoutMs?: number;
 }
 
-const defaultCandidateSilenceMs = 450;
-const defaultSilenceMs = 3_000;
-/** Lowest ranks that tell all others of themselves often. */
+const defaultCandidateTimeoutMs = 450;
+const defaultPeerTimeoutMs = 3_000;
+/** Number of lowest ranks that send their status often. */
 const candidateCount = 3;
 
 /** Creates a table without peers. */
 export function createRankPeers(options: RankPeersOptions): RankPeers {
-  const silenceMs = options.peerTimeoutMs ?? defaultSilenceMs;
-  const candidateSilenceMs = options.candidateTimeoutMs ??
-    defaultCandidateSilenceMs;
+  const peerTimeoutMs = options.peerTimeoutMs ?? defaultPeerTimeoutMs;
+  const candidateTimeoutMs = options.candidateTimeoutMs ??
+    defaultCandidateTimeoutMs;
   const peers = new Map<number, RankPeer>();
   let own: RankStatus | undefined;
 
-  function isKnown({ status, lastSeenAtMs: heardAtMs }: RankPeer): boolean {
+  function isRecent({ status, lastSeenAtMs }: RankPeer): boolean {
     return status.group === own?.group &&
-      options.clock.now() - heardAtMs < silenceMs;
+      options.clock.now() - lastSeenAtMs < peerTimeoutMs;
   }
 
-  /** Peers that were heard of within the longer time, by rank. */
-  function listKnown(): readonly RankPeer[] {
+  /** Lists the peers seen within `peerTimeoutMs`, sorted by rank. */
+  function listRecent(): readonly RankPeer[] {
     return [...peers.values()]
-      .filter(isKnown)
+      .filter(isRecent)
       .sort((a, b) => a.status.rank - b.status.rank);
   }
 
-  /** Whether fewer than `candidateCount` known ranks are lower. */
-  function isCandidateRank(rank: number, known: readonly RankPeer[]): boolean {
-    const ranks = known.map(({ status }) => status.rank);
-    const lower = [...ranks, own?.rank ?? Infinity]
+  /** Whether fewer than `candidateCount` recently seen ranks are lower. */
+  function isCandidateRank(rank: number, recent: readonly RankPeer[]): boolean {
+    const ranks = recent.map(({ status }) => status.rank);
+    const lowerCount = [...ranks, own?.rank ?? Infinity]
       .filter((other) => other < rank).length;
-    return lower < candidateCount;
+    return lowerCount < candidateCount;
   }
 
-  function isLiveAmong(peer: RankPeer, known: readonly RankPeer[]): boolean {
-    return !isCandidateRank(peer.status.rank, known) ||
-      options.clock.now() - peer.lastSeenAtMs < candidateSilenceMs;
+  function isLiveAmong(peer: RankPeer, recent: readonly RankPeer[]): boolean {
+    return !isCandidateRank(peer.status.rank, recent) ||
+      options.clock.now() - peer.lastSeenAtMs < candidateTimeoutMs;
   }
 
   function listLive(): readonly RankPeer[] {
-    const known = listKnown();
-    return known.filter((peer) => isLiveAmong(peer, known));
+    const recent = listRecent();
+    return recent.filter((peer) => isLiveAmong(peer, recent));
   }
 
   return {
@@ -116,21 +117,21 @@
       });
     },
     listLive,
-    isLive: (peer) => isKnown(peer) && isLiveAmong(peer, listKnown()),
-    isRecent: isKnown,
+    isLive: (peer) => isRecent(peer) && isLiveAmong(peer, listRecent()),
+    isRecent,
     findLastSeen(rank) {
       const peer = peers.get(rank);
-      const isOfEpoch = peer?.status.group === own?.group &&
+      const isCurrent = peer?.status.group === own?.group &&
         peer?.status.epoch === own?.epoch;
-      return isOfEpoch ? peer : undefined;
+      return isCurrent ? peer : undefined;
     },
     isCandidate: () =>
-      own !== undefined && isCandidateRank(own.rank, listKnown()),
+      own !== undefined && isCandidateRank(own.rank, listRecent()),
     isLeading() {
-      const self = own;
-      if (self === undefined || !self.canLead) return false;
+      const ownStatus = own;
+      if (ownStatus === undefined || !ownStatus.canLead) return false;
       return listLive().every(({ status }) =>
-        status.rank >= self.rank || !status.canLead
+        status.rank >= ownStatus.rank || !status.canLead
       );
     },
   };
--- a/packages/anvilhinge/src/agent/ranks/rank_rpc.ts
+++ b/packages/anvilhinge/src/agent/ranks/rank_rpc.ts
@@ -1,6 +1,6 @@
 /**
- * Calls from the leader to the agents of the ranks, over datagrams: a call is
- * sent again until it is answered, and carried out once however often it
+ * Remote calls over datagrams from the leader to the agents of the ranks. A call
+ * is retransmitted until it is answered, and executed once however often it
  * arrives.
  */
 import type * as rankOrders from "@anvilhinge/coordination/maps/rank_orders";
@@ -9,7 +9,7 @@
 import type * as scheduler from "../../ports/scheduler.ts";
 import * as orderRunner from "./order_runner.ts";
 
-/** What the leader asks of an agent. */
+/** A call from the leader to an agent. */
 export type RankCall =
   | { readonly kind: "report" }
   | { readonly kind: "experts" }
@@ -46,30 +46,31 @@
   readonly engine: rankEngine.RankEngine;
   readonly scheduler: scheduler.Scheduler;
   readonly sockets: datagrams.Datagrams;
-  /** Distinguishes the calls of this process from all others. */
+  /** Makes the ids of this process's calls unique. */
   readonly incarnation: string;
 }
 
 export interface RankRpc {
-  /** Calls an agent; resolves to undefined when it does not answer in time. */
+  /** Calls an agent; resolves to undefined when the call times out. */
   call(
     address: string,
     call: RankCall,
     options: { readonly timeoutMs: number },
   ): Promise<RankAnswer | undefined>;
-  /** Carries a call out at the own engine. */
+  /** Executes a call at the local engine. */
   execute(call: RankCall): Promise<RankAnswer>;
   handleCall(message: CallMessage, from: string): void;
   handleAnswer(message: AnswerMessage): void;
 }
 
-/** Time after which an unanswered call is sent again. */
-const resendMs = 40;
-/** Longest time that an agent spends on one order. */
+/** Interval between retransmissions of an unanswered call. */
+const resendIntervalMs = 40;
+/** Maximum time that an agent spends on one order. */
 const orderTimeoutMs = 2_500;
-const maxRemembered = 256;
+/** Answers kept to recognize retransmitted calls. */
+const maxKeptAnswers = 256;
 
-/** Carries a call out at an engine. */
+/** Executes a call at an engine. */
 export async function executeCall(
   call: RankCall,
   { engine, scheduler }: Pick<RankRpcOptions, "engine" | "scheduler">,
@@ -104,43 +105,46 @@
   }
 }
 
-/** Creates the calls of one agent. */
+/** Creates the client and server side of the calls of one agent. */
 export function createRankRpc(options: RankRpcOptions): RankRpc {
   const { engine, scheduler } = options;
-  const open = new Map<string, (answer: RankAnswer | undefined) => void>();
-  /** Calls that arrived, so that a repetition is not carried out again. */
-  const received = new Map<string, Promise<RankAnswer>>();
-  let sent = 0;
+  const pendingCalls = new Map<
+    string,
+    (answer: RankAnswer | undefined) => void
+  >();
+  /** Answers by call id, so that a retransmitted call does not run again. */
+  const answers = new Map<string, Promise<RankAnswer>>();
+  let sentCount = 0;
 
   const execute = (call: RankCall): Promise<RankAnswer> =>
     executeCall(call, { engine, scheduler });
 
   function keepAnswer(id: string, answer: Promise<RankAnswer>): void {
-    received.set(id, answer);
-    if (received.size <= maxRemembered) return;
-    const oldest = received.keys().next().value;
-    if (oldest !== undefined) received.delete(oldest);
+    answers.set(id, answer);
+    if (answers.size <= maxKeptAnswers) return;
+    const oldest = answers.keys().next().value;
+    if (oldest !== undefined) answers.delete(oldest);
   }
 
   return {
     execute,
     call(address, call, { timeoutMs }) {
-      sent += 1;
-      const id = `${options.incarnation}/${sent}`;
+      sentCount += 1;
+      const id = `${options.incarnation}/${sentCount}`;
       const message: CallMessage = { kind: "call", id, call };
       const abort = new AbortController();
       const { signal } = abort;
       return new Promise((resolve) => {
         function finish(answer: RankAnswer | undefined): void {
           abort.abort();
-          open.delete(id);
+          pendingCalls.delete(id);
           resolve(answer);
         }
         function send(): void {
           options.sockets.send(message, address);
-          scheduler.schedule(send, { delayMs: resendMs, signal });
+          scheduler.schedule(send, { delayMs: resendIntervalMs, signal });
         }
-        open.set(id, finish);
+        pendingCalls.set(id, finish);
         scheduler.schedule(() => finish(undefined), {
           delayMs: timeoutMs,
           signal,
@@ -149,16 +153,16 @@
       });
     },
     handleCall({ id, call }, from) {
-      const known = received.get(id);
-      const answer = known ?? execute(call);
-      if (known === undefined) keepAnswer(id, answer);
-      void answer.then((ready) => {
-        const message: AnswerMessage = { kind: "answer", id, answer: ready };
+      const earlier = answers.get(id);
+      const answer = earlier ?? execute(call);
+      if (earlier === undefined) keepAnswer(id, answer);
+      void answer.then((result) => {
+        const message: AnswerMessage = { kind: "answer", id, answer: result };
         options.sockets.send(message, from);
       });
     },
     handleAnswer({ id, answer }) {
-      open.get(id)?.(answer);
+      pendingCalls.get(id)?.(answer);
     },
   };
 }
--- a/packages/anvilhinge/src/agent/ranks/remote_engine.ts
+++ b/packages/anvilhinge/src/agent/ranks/remote_engine.ts
@@ -1,4 +1,4 @@
-/** An engine beside which another agent runs, or should run. */
+/** Access to the engine beside another agent, whether that agent runs or not. */
 import * as delay from "../../adapters/delay.ts";
 import type * as rankEngine from "../../ports/rank_engine.ts";
 import type * as scheduler from "../../ports/scheduler.ts";
@@ -6,14 +6,14 @@
 export interface RemoteEngineOptions {
   readonly engine: rankEngine.RankEngine;
   readonly scheduler: scheduler.Scheduler;
-  /** Oldest that the state in a report may be, in milliseconds. */
+  /** Maximum age of the state in a report, in milliseconds. */
   readonly reportLagMs: number;
 }
 
 /**
- * Creates an engine whose reads show a state no older than the read itself:
- * rounds rest on that, and the reports that an engine gives to other machines
- * may lag.
+ * Wraps an engine so that a read returns a state no older than the read itself.
+ * Switch rounds rely on that, but the reports that an engine gives to other
+ * machines may lag, so each read first waits for the maximum lag.
  */
 export function createRemoteEngine(
   { engine, scheduler, reportLagMs }: RemoteEngineOptions,
--- a/packages/anvilhinge/src/agent/ranks/stall_detector.ts
+++ b/packages/anvilhinge/src/agent/ranks/stall_detector.ts
@@ -1,27 +1,28 @@
-/** Notices that a rank which has requests begins no further pass. */
+/** Detects that a rank with requests has stopped beginning forward passes. */
 
 export interface PassSample {
   readonly atMs: number;
   readonly epoch: number;
   readonly step: number;
-  /** Whether the rank has requests to work on. */
+  /** Whether the rank has requests. */
   readonly isBusy: boolean;
 }
 
 export interface StallDetector {
-  /** Returns for how long no pass has begun, in milliseconds. */
+  /** Returns the time since the last pass began, in milliseconds. */
   observe(sample: PassSample): number;
 }
 
-/** Creates a watch that has seen nothing. */
+/** Creates a detector without samples. */
 export function createStallDetector(): StallDetector {
-  let since: PassSample | undefined;
+  let lastProgress: PassSample | undefined;
   return {
     observe(sample) {
-      const hasMoved = since === undefined || !sample.isBusy ||
-        sample.step !== since.step || sample.epoch !== since.epoch;
-      if (hasMoved) since = sample;
-      return sample.atMs - (since?.atMs ?? sample.atMs);
+      const hasProgressed = lastProgress === undefined || !sample.isBusy ||
+        sample.step !== lastProgress.step ||
+        sample.epoch !== lastProgress.epoch;
+      if (hasProgressed) lastProgress = sample;
+      return sample.atMs - (lastProgress?.atMs ?? sample.atMs);
     },
   };
 }
--- a/packages/anvilhinge/src/agent/routed_agent.ts
+++ b/packages/anvilhinge/src/agent/routed_agent.ts
@@ -13,7 +13,7 @@
 import * as routedLogger from "../telemetry/routed_logger.ts";
 import * as rankAgent from "./ranks/rank_agent.ts";
 
-/** Adapters between the agent and one platform. */
+/** Adapters of the agent for one platform. */
 export interface AgentPlatform {
   createStore(options: objectStore.StoreOptions): objectStore.ObjectStore;
   readonly source: routingView.RoutingSource;
@@ -26,24 +26,24 @@
   readonly settings: routedProcess.RoutedAgentSettings;
   readonly platform: AgentPlatform;
   readonly reload: reload.SettingsReload<routedProcess.RoutedAgentSettings>;
-  /** Asks for a graceful stop. */
+  /** Requests a graceful stop. */
   readonly signal: AbortSignal;
 }
 
-/** Longest wait for the engine on the own machine. */
-const engineTimeoutMs = 60;
-/** Orders take effect or get lost; a repetition is harmless. */
+/** Read timeout of the engine on the local machine. */
+const engineReadTimeoutMs = 60;
+/** Short, because lost orders are sent again and repetitions are harmless. */
 const engineOrderTimeoutMs = 30;
-/** Longest wait for the engine beside another agent. */
-const distantTimeoutMs = 200;
-/** Time between two reads of the store while something is unknown. */
-const storeRetryMs = 1_000;
-/** Time between two reads of the list of upstreams. */
-const storeRefreshMs = 15_000;
+/** Timeout of the engine beside another agent. */
+const remoteEngineTimeoutMs = 200;
+/** Interval between reads of the object store while the view is incomplete. */
+const storeRetryIntervalMs = 1_000;
+/** Interval between reads of the list of upstreams. */
+const storeRefreshIntervalMs = 15_000;
 
-/** Runs the agent until it is asked to stop. */
+/** Runs the agent until a stop is requested. */
 export async function runRoutedAgent(
-  { settings, platform, signal: asked, ...options }: RoutedAgentOptions,
+  { settings, platform, signal: stopSignal, ...options }: RoutedAgentOptions,
 ): Promise<void> {
   const abort = new AbortController();
   const { signal } = abort;
@@ -58,7 +58,7 @@
     scheduler: clock,
     signal,
   });
-  const own = hostPort.parseAddress(settings.peers);
+  const ownAddress = hostPort.parseAddress(settings.peers);
   let addresses: readonly string[] = [];
   let spec: rankAgent.GroupSpec | undefined;
   let handleMessage: rankAgent.RankAgent["handleMessage"] = () => {};
@@ -71,20 +71,20 @@
     },
   });
 
-  /** Learns the group's engines and where the other agents listen. */
-  async function readStore(): Promise<boolean> {
+  /** Reads the group's spec and the other agents' addresses from the store. */
+  async function updateGroupView(): Promise<boolean> {
     const [routingList, upstreams] = await Promise.all([
       spec === undefined
         ? store.list(platform.source.routingPrefix, { allowsStale: true })
         : undefined,
       store.list(platform.source.upstreamsPrefix, { allowsStale: true }),
     ]);
-    const found = routingList?.kind === "listed"
+    const routing = routingList?.kind === "listed"
       ? routingList.objects.flatMap((object) =>
         platform.source.decodeRouting(object) ?? []
       )[0]
       : undefined;
-    const engineSpec = found?.services
+    const engineSpec = routing?.services
       .find(({ name }) => name === settings.service)?.engine;
     if (engineSpec?.experts !== undefined) {
       const { experts, slots, reportLagMs } = engineSpec;
@@ -95,16 +95,16 @@
       .flatMap((object) => platform.source.decodeUpstream(object) ?? [])
       .filter(({ service }) => service === settings.service)
       .map(({ address }) => hostPort.parseAddress(address).host)
-      .filter((host) => host !== own.host);
-    addresses = [...new Set(hosts)].map((host) => `${host}:${own.port}`);
+      .filter((host) => host !== ownAddress.host);
+    addresses = [...new Set(hosts)].map((host) => `${host}:${ownAddress.port}`);
     return spec !== undefined && addresses.length > 0;
   }
 
   async function followStore(): Promise<void> {
     while (!signal.aborted) {
-      const isKnown = await readStore();
+      const isComplete = await updateGroupView();
       await delay.waitFor(clock, {
-        delayMs: isKnown ? storeRefreshMs : storeRetryMs,
+        delayMs: isComplete ? storeRefreshIntervalMs : storeRetryIntervalMs,
         signal,
       });
     }
@@ -122,7 +122,7 @@
   ({ handleMessage } = rankAgent.startRankAgent({
     engine: platform.createRankEngine({
       address: settings.upstream,
-      readTimeoutMs: engineTimeoutMs,
+      readTimeoutMs: engineReadTimeoutMs,
       orderTimeoutMs: engineOrderTimeoutMs,
       signal,
     }),
@@ -130,8 +130,8 @@
     openEngine: (address) =>
       platform.createRankEngine({
         address,
-        readTimeoutMs: distantTimeoutMs,
-        orderTimeoutMs: distantTimeoutMs,
+        readTimeoutMs: remoteEngineTimeoutMs,
+        orderTimeoutMs: remoteEngineTimeoutMs,
         signal,
       }),
     sockets,
@@ -144,7 +144,7 @@
     listAddresses: () => addresses,
     signal,
   }));
-  await abortSignal.waitForAbort(asked);
+  await abortSignal.waitForAbort(stopSignal);
   log.info("Stopped");
   abort.abort();
 }
--- a/packages/anvilhinge/src/agent/service.ts
+++ b/packages/anvilhinge/src/agent/service.ts
@@ -1,4 +1,4 @@
-/** Serves the agent's messages with connect-es; a thin layer over `attempts`. */
+/** Connect-es service of the agent; a thin layer over `attempts`. */
 import type * as connect from "@connectrpc/connect";
 import * as api from "@opentelemetry/api";
 import * as frameCodec from "../adapters/frame_codec.ts";
@@ -19,22 +19,23 @@
   readonly tracing: tracing.Tracing;
 }
 
-/** The routes of an agent and the means to cancel its engine work. */
+/** Routes of an agent and cancellation of its engine work. */
 export interface AgentService {
   readonly routes: (router: connect.ConnectRouter) => void;
+  /** Cancels the engine work of a repeatable attempt. */
   cancelEngine(attemptId: string): void;
-  /** Streams of frames that entries still read. */
+  /** Counts the frame streams that entries still read. */
   countStreams(): number;
 }
 
 interface Spans {
-  /** Trace context to be passed on to the engine. */
+  /** Headers that propagate the trace context to the engine. */
   readonly headers: Readonly<Record<string, string>>;
   end(event: engine.EngineEvent): void;
 }
 
-/** Data that a slow reader may leave waiting before its stream is closed. */
-const waitingLimitBytes = 1024 * 1024;
+/** Maximum data queued for a slow reader before its stream is closed. */
+const queueLimitBytes = 1024 * 1024;
 const chatPath = "/v1/chat/completions";
 
 /** Creates the agent's connect-es service. */
@@ -70,7 +71,7 @@
     });
   }
 
-  /** Starts the spans of this hop and of the call to the engine. */
+  /** Starts the spans of the agent and of its call to the engine. */
   function startSpans(attempt: frames.Attempt, headers: Headers): Spans {
     const { tracer } = options.tracing;
     const attributes = {
@@ -86,9 +87,11 @@
       { kind: api.SpanKind.CLIENT, attributes },
       api.trace.setSpan(parent, agent),
     );
-    const carried = tracing.injectContext(api.trace.setSpan(parent, engine));
+    const traceHeaders = tracing.injectContext(
+      api.trace.setSpan(parent, engine),
+    );
     return {
-      headers: carried as Readonly<Record<string, string>>,
+      headers: traceHeaders as Readonly<Record<string, string>>,
       end(event) {
         if (event.kind === "failed") {
           const code = api.SpanStatusCode.ERROR;
@@ -101,32 +104,32 @@
   }
 
   function cancelEngine(attemptId: string): void {
-    const hadWork = options.attempts.cancel(attemptId);
-    if (hadWork) running.get(attemptId)?.abort();
+    const mustAbort = options.attempts.cancel(attemptId);
+    if (mustAbort) running.get(attemptId)?.abort();
     running.delete(attemptId);
   }
 
-  /** Streams the frames that `subscribe` delivers until the last one. */
+  /** Streams the frames that `subscribe` delivers, up to the last frame. */
   async function* streamFrames(
     attemptId: string,
     subscribe: (sink: attempts.FrameSink) => void,
     signal: AbortSignal,
   ): AsyncGenerator<agentPb.Frame> {
     const queue = streamQueue.createStreamQueue<frames.Frame>(signal);
-    let waitingBytes = 0;
+    let queuedBytes = 0;
     const sink: attempts.FrameSink = (frame) => {
-      waitingBytes += measureData(frame);
+      queuedBytes += measureData(frame);
       queue.push(frame);
-      // A reader that falls behind resumes from the frames that are held.
-      if (isLast(frame) || waitingBytes > waitingLimitBytes) queue.close();
+      // A reader that falls behind can resume from the retained frames.
+      if (isLastFrame(frame) || queuedBytes > queueLimitBytes) queue.close();
     };
     streamCount += 1;
     try {
       subscribe(sink);
       for await (const frame of queue) {
-        waitingBytes -= measureData(frame);
+        queuedBytes -= measureData(frame);
         yield frameCodec.encodeFrame(frame);
-        if (isLast(frame)) options.attempts.markDelivered(attemptId);
+        if (isLastFrame(frame)) options.attempts.markDelivered(attemptId);
       }
     } finally {
       streamCount -= 1;
@@ -188,7 +191,7 @@
     : work.headers;
 }
 
-/** Passes events on; the data of event streams is cut at the ends of events. */
+/** Forwards events; splits the data of event streams at event boundaries. */
 function createDelivery(
   deliver: (event: engine.EngineEvent) => void,
 ): (event: engine.EngineEvent) => void {
@@ -233,7 +236,7 @@
   return frame.body.kind === "chunk" ? frame.body.data.byteLength : 0;
 }
 
-function isLast(frame: frames.Frame): boolean {
+function isLastFrame(frame: frames.Frame): boolean {
   switch (frame.body.kind) {
     case "end":
     case "refused":
--- a/packages/anvilhinge/src/agent/start_guard.ts
+++ b/packages/anvilhinge/src/agent/start_guard.ts
@@ -1,7 +1,8 @@
 /**
- * Which attempts must not start at this agent any more. An attempt names the
- * agent's incarnation and the instant by which it must start, so that a
- * record has to be kept only until that instant, however late a copy arrives.
+ * Prevents attempts from starting at an agent when they must not start any more.
+ * An attempt carries the agent's incarnation and the time by which it must
+ * start, so a record is needed only until that time, however late a duplicate
+ * call arrives.
  */
 import type * as clock from "@anvilhinge/coordination/clock";
 import * as frames from "../ports/frames.ts";
@@ -9,7 +10,7 @@
 export interface StartGuardOptions {
   readonly clock: clock.Clock;
   readonly incarnation: string;
-  /** How long records of finished attempts are kept, in milliseconds. */
+  /** Retention period of the records of finished attempts, in milliseconds. */
   readonly retentionMs: number;
 }
 
@@ -20,55 +21,56 @@
 }
 
 export interface StartGuard {
-  /** Why the limits forbid a start now; undefined when they allow it. */
+  /** Returns why an attempt must not start now; undefined when it may. */
   findRefusal(
     attemptId: string,
     limits: StartLimits,
   ): "sealed" | "wrong_incarnation" | "expired" | undefined;
   /** Forbids the start of an attempt that has not started. */
   forbid(attemptId: string, startByMs: number): void;
-  /** Whether an attempt without a record surely never started. */
+  /** Whether an attempt without a record is certain not to have started. */
   hasNeverStarted(limits: StartLimits): boolean;
+  /** Drops the records that are no longer needed. */
   expire(): void;
   count(): number;
 }
 
-/** Creates an empty table of records. */
+/** Creates a guard without records. */
 export function createStartGuard(options: StartGuardOptions): StartGuard {
   if (options.retentionMs < 2 * frames.startWindowMs) {
     throw new RangeError(
       `Retention must be at least ${2 * frames.startWindowMs} ms`,
     );
   }
-  const startByOfForbidden = new Map<string, number>();
+  const forbiddenStartByMs = new Map<string, number>();
 
   return {
     findRefusal(attemptId, { incarnation, startByMs }) {
       const nowMs = options.clock.now();
       if (incarnation !== options.incarnation) return "wrong_incarnation";
-      if (startByOfForbidden.has(attemptId)) return "sealed";
-      const isWithin = startByMs >= nowMs &&
+      if (forbiddenStartByMs.has(attemptId)) return "sealed";
+      const isInWindow = startByMs >= nowMs &&
         startByMs <= nowMs + frames.startWindowMs;
-      return isWithin ? undefined : "expired";
+      return isInWindow ? undefined : "expired";
     },
     forbid(attemptId, startByMs) {
-      startByOfForbidden.set(attemptId, startByMs);
+      forbiddenStartByMs.set(attemptId, startByMs);
     },
     hasNeverStarted({ incarnation, startByMs }) {
       if (incarnation !== options.incarnation) return false;
       const nowMs = options.clock.now();
       if (startByMs > nowMs + frames.startWindowMs) return false;
-      // It can't have started before this instant, and a record of a start
-      // is kept for the retention at least.
+      // The attempt can't have started before this time, and the record of a
+      // start is retained for `retentionMs` at least.
       const earliestStartMs = startByMs - frames.startWindowMs;
       return nowMs < earliestStartMs + options.retentionMs;
     },
     expire() {
       const nowMs = options.clock.now();
-      for (const [attemptId, startByMs] of startByOfForbidden) {
-        if (startByMs < nowMs) startByOfForbidden.delete(attemptId);
+      for (const [attemptId, startByMs] of forbiddenStartByMs) {
+        if (startByMs < nowMs) forbiddenStartByMs.delete(attemptId);
       }
     },
-    count: () => startByOfForbidden.size,
+    count: () => forbiddenStartByMs.size,
   };
 }
--- a/packages/anvilhinge/src/events/event_splitter.ts
+++ b/packages/anvilhinge/src/events/event_splitter.ts
@@ -1,37 +1,39 @@
 /**
- * Cuts a byte stream of server-sent events at the ends of events, so that each
- * frame carries whole events.
+ * Splits a byte stream of server-sent events at event boundaries, so that each
+ * frame contains only complete events.
  */
 
 const lineFeed = 10;
 
-/** Collects bytes and returns those that form whole events. */
+/** Buffers bytes and returns complete events. */
 export interface EventSplitter {
-  /** Adds bytes; returns the whole events that are complete now, if any. */
+  /** Adds bytes; returns the events that are now complete, if any. */
   push(data: Uint8Array): Uint8Array | undefined;
-  /** Returns what is left when the stream ends. */
+  /** Returns the remaining bytes at the end of the stream. */
   flush(): Uint8Array | undefined;
 }
 
 /** Creates a splitter for one stream; events end with an empty line. */
 export function createEventSplitter(): EventSplitter {
-  let rest: Uint8Array = new Uint8Array(0);
+  let buffered: Uint8Array = new Uint8Array(0);
   return {
     push(data) {
-      const joined = rest.byteLength === 0 ? data : Buffer.concat([rest, data]);
-      const end = findLastEventEnd(joined);
-      rest = joined.subarray(end);
-      return end === 0 ? undefined : joined.subarray(0, end);
+      const available = buffered.byteLength === 0
+        ? data
+        : Buffer.concat([buffered, data]);
+      const end = findLastEventEnd(available);
+      buffered = available.subarray(end);
+      return end === 0 ? undefined : available.subarray(0, end);
     },
     flush() {
-      const left = rest;
-      rest = new Uint8Array(0);
-      return left.byteLength === 0 ? undefined : left;
+      const remaining = buffered;
+      buffered = new Uint8Array(0);
+      return remaining.byteLength === 0 ? undefined : remaining;
     },
   };
 }
 
-/** Returns the offset behind the last empty line, 0 when there is none. */
+/** Returns the offset after the last empty line; 0 if there is none. */
 function findLastEventEnd(bytes: Uint8Array): number {
   for (let index = bytes.byteLength - 1; index > 0; index -= 1) {
     if (bytes[index] === lineFeed && bytes[index - 1] === lineFeed) {
--- a/packages/coordination/src/fencing.ts
+++ b/packages/coordination/src/fencing.ts
@@ -1,28 +1,29 @@
 /**
- * The gate that orders to one engine pass. It compares the term of each order,
- * (epoch of the ownership, fencing number of the lease, sequence number), with
- * the highest that it has accepted, and never accepts a lower one.
+ * Fencing gate that all orders to one engine pass through. It compares the term
+ * of each order (epoch of the ownership, fencing number of the lease, sequence
+ * number) with the highest accepted term and never accepts a lower term.
  *
- * After a start it knows nothing, so it first learns the floor from the store,
- * and reads back what the engine has in force. It runs one order at a time. For
- * an engine that ignores fencing numbers the gate is the only path: it waits
- * until an order that its predecessor may have left on the way has either taken
- * effect or been given up (`settleMs`) before it reads back.
+ * A new gate has no state, so it first reads the floor (the lowest term that is
+ * still accepted) from the object store, and then reads back what the engine has
+ * in force. It runs one order at a time. An engine that ignores fencing numbers
+ * must be reachable through its gate only: before reading back, the gate waits
+ * until an order that its predecessor may have left in flight has either taken
+ * effect or been abandoned (`settleMs`).
  *
- * A deterministic state machine; the embedder carries out its effects.
+ * Deterministic state machine; the embedder executes its effects.
  */
 
 /** Position of an order among all orders to one engine. */
 export interface OrderTerm {
   /** Epoch of the ownership under which the order is given. */
   readonly epoch: number;
-  /** Fencing number of the lease of whoever gives the order. */
+  /** Fencing number of the lease whose holder gives the order. */
   readonly fencingNumber: number;
-  /** Rises with each order that one holder gives. */
+  /** Increases with each order of a holder. */
   readonly sequence: number;
 }
 
-/** Lowest term that is still accepted, without a sequence number. */
+/** Lowest term that is still accepted, without its sequence number. */
 export type Floor = Omit<OrderTerm, "sequence">;
 
 export interface FencedOrder<Order> {
@@ -31,22 +32,22 @@
   readonly order: Order;
 }
 
-/** Answer of the engine to an order. */
+/** Outcome of an order at the engine. */
 export type ExecutionOutcome =
   | { readonly kind: "done" }
-  /** The engine refused it and has nothing of it in force. */
+  /** The engine refused the order; no part of the order is in force. */
   | { readonly kind: "refused"; readonly message: string }
   /** The order may have taken effect. */
   | { readonly kind: "unknown"; readonly message: string };
 
 export type OrderAnswer<State> =
   | { readonly kind: "done" }
-  /** A higher term was accepted before; the order did not run. */
+  /** A higher term was accepted earlier; the order did not run. */
   | { readonly kind: "fenced"; readonly floor: OrderTerm }
-  /** The floor or the engine's state could not be learnt; it did not run. */
+  /** The floor or the engine's state is unavailable; the order did not run. */
   | { readonly kind: "not_ready"; readonly message: string }
   | { readonly kind: "refused"; readonly message: string }
-  /** The outcome is not known; `inForce` is what the engine has in force. */
+  /** The outcome is unknown; `inForce` is what the engine has in force. */
   | {
     readonly kind: "unknown";
     readonly message: string;
@@ -55,7 +56,7 @@
 
 export type GateEvent<Order, State> =
   | { readonly kind: "order"; readonly order: FencedOrder<Order> }
-  /** Orders of earlier epochs are no longer accepted. */
+  /** From now on, orders of earlier epochs are not accepted. */
   | { readonly kind: "epoch"; readonly epoch: number }
   | { readonly kind: "settled" }
   | { readonly kind: "floor"; readonly floor: Floor | undefined }
@@ -69,7 +70,7 @@
 export type GateEffect<Order, State> =
   /** Answer with `settled` after the delay. */
   | { readonly kind: "wait"; readonly delayMs: number }
-  /** Read the floor from the store; answer with `floor`. */
+  /** Read the floor from the object store; answer with `floor`. */
   | { readonly kind: "read_floor" }
   /** Read what the engine has in force; answer with `state`. */
   | { readonly kind: "read_state" }
@@ -86,16 +87,16 @@
 }
 
 export interface GateOptions {
-  /** Whether the engine itself refuses lower numbers. */
+  /** Whether the engine itself refuses lower fencing numbers. */
   readonly checksFencing: boolean;
   /**
-   * Longest time that an order which the engine has received can take to come
-   * into force, in milliseconds.
+   * Maximum time until an order that the engine has received is in force, in
+   * milliseconds.
    * @default 2000
    */
   readonly settleMs?: number;
   /**
-   * Most orders that wait; more are answered `not_ready`.
+   * Maximum number of queued orders; further ones are answered `not_ready`.
    * @default 64
    */
   readonly queueLimit?: number;
@@ -103,8 +104,8 @@
 
 const defaultSettleMs = 2_000;
 const defaultQueueLimit = 64;
-/** 17 years at 500 writes a second; leaves room for 32768 epochs. */
-const versionRange = 2 ** 38;
+/** Lasts 17 years at 500 writes per second; leaves room for 32768 epochs. */
+const fencingNumberRange = 2 ** 38;
 
 /** Compares by epoch, then fencing number, then sequence number. */
 export function compareTerms(left: OrderTerm, right: OrderTerm): number {
@@ -114,127 +115,127 @@
 }
 
 /**
- * Computes the one number that engines compare. The fencing numbers of the two
- * owners' leases are unrelated, so that the epoch must weigh more.
+ * Computes the single number that engines compare. The epoch takes precedence,
+ * because the fencing numbers of two owners' leases are unrelated.
  */
 export function computeEngineFencingNumber(floor: Floor): number {
   const { epoch, fencingNumber } = floor;
-  const composed = epoch * versionRange + fencingNumber;
-  if (fencingNumber < versionRange && Number.isSafeInteger(composed)) {
-    return composed;
+  const combined = epoch * fencingNumberRange + fencingNumber;
+  if (fencingNumber < fencingNumberRange && Number.isSafeInteger(combined)) {
+    return combined;
   }
   throw new RangeError(
     `Epoch ${epoch} with fencing number ${fencingNumber} exceeds the range of engine numbers`,
   );
 }
 
-/** Creates the gate of one engine; it accepts nothing before the floor is known. */
+/** Creates the gate of one engine; it runs no order before it has the floor. */
 export function createGate<Order, State>(
   options: GateOptions,
 ): Gate<Order, State> {
   const settleMs = options.settleMs ?? defaultSettleMs;
   const queueLimit = options.queueLimit ?? defaultQueueLimit;
   const queue: FencedOrder<Order>[] = [];
-  let highest: OrderTerm | undefined;
-  let highestId = "";
+  let highestTerm: OrderTerm | undefined;
+  let highestOrderId = "";
   let stage: "unsettled" | "new" | "ready" = options.checksFencing
     ? "new"
     : "unsettled";
-  let lowestEpoch = 0;
+  let minEpoch = 0;
   let isBusy = false;
-  let running: FencedOrder<Order> | undefined;
-  /** Order whose outcome the engine's state must tell. */
-  let doubtful: { readonly id: string; readonly message: string } | undefined;
+  let runningOrder: FencedOrder<Order> | undefined;
+  /** Order with an unknown outcome; the engine's state is read for its answer. */
+  let unsettled: { readonly id: string; readonly message: string } | undefined;
   let effects: GateEffect<Order, State>[] = [];
 
   function reply(id: string, answer: OrderAnswer<State>): void {
     effects.push({ kind: "answer", id, answer });
   }
 
-  function request(effect: GateEffect<Order, State>): void {
+  function requestEffect(effect: GateEffect<Order, State>): void {
     isBusy = true;
     effects.push(effect);
   }
 
-  function refuseAll(message: string): void {
+  function refuseQueued(message: string): void {
     for (const { id } of queue.splice(0)) {
       reply(id, { kind: "not_ready", message });
     }
   }
 
   function isFenced({ id, term }: FencedOrder<Order>): boolean {
-    if (highest === undefined || id === highestId) return false;
-    return compareTerms(term, highest) <= 0;
+    if (highestTerm === undefined || id === highestOrderId) return false;
+    return compareTerms(term, highestTerm) <= 0;
   }
 
   function executeNext(): void {
-    const next = queue.shift();
-    if (next === undefined) return;
-    if (highest !== undefined && isFenced(next)) {
-      reply(next.id, { kind: "fenced", floor: highest });
+    const nextOrder = queue.shift();
+    if (nextOrder === undefined) return;
+    if (highestTerm !== undefined && isFenced(nextOrder)) {
+      reply(nextOrder.id, { kind: "fenced", floor: highestTerm });
       return executeNext();
     }
-    highest = next.term;
-    highestId = next.id;
-    request({ kind: "execute", order: next });
-    running = next;
+    highestTerm = nextOrder.term;
+    highestOrderId = nextOrder.id;
+    requestEffect({ kind: "execute", order: nextOrder });
+    runningOrder = nextOrder;
   }
 
   function advance(): void {
     if (isBusy || queue.length === 0) return;
     switch (stage) {
       case "unsettled":
-        return request({ kind: "wait", delayMs: settleMs });
+        return requestEffect({ kind: "wait", delayMs: settleMs });
       case "new":
-        return request({ kind: "read_floor" });
+        return requestEffect({ kind: "read_floor" });
       case "ready":
         return executeNext();
     }
   }
 
   function raiseEpoch(epoch: number): void {
-    lowestEpoch = Math.max(lowestEpoch, epoch);
-    if (highest === undefined || highest.epoch >= epoch) return;
-    highest = { epoch, fencingNumber: 0, sequence: -1 };
+    minEpoch = Math.max(minEpoch, epoch);
+    if (highestTerm === undefined || highestTerm.epoch >= epoch) return;
+    highestTerm = { epoch, fencingNumber: 0, sequence: -1 };
   }
 
   function handleFloor(floor: Floor | undefined): void {
     if (floor === undefined) {
-      return refuseAll("The floor could not be read from the store");
+      return refuseQueued("The floor could not be read from the store");
     }
-    // Below every sequence number, so that the present holder is accepted.
-    highest = { ...floor, sequence: -1 };
-    raiseEpoch(lowestEpoch);
-    request({ kind: "read_state" });
+    // Lower than every sequence number, so that the current holder's orders pass.
+    highestTerm = { ...floor, sequence: -1 };
+    raiseEpoch(minEpoch);
+    requestEffect({ kind: "read_state" });
   }
 
   function handleState(state: State | undefined): void {
-    if (doubtful !== undefined) {
-      const { id, message } = doubtful;
-      doubtful = undefined;
+    if (unsettled !== undefined) {
+      const { id, message } = unsettled;
+      unsettled = undefined;
       if (state === undefined) stage = "unsettled";
       return reply(id, { kind: "unknown", message, inForce: state });
     }
     if (state === undefined) {
-      return refuseAll("The engine did not tell what it has in force");
+      return refuseQueued("The engine did not tell what it has in force");
     }
     stage = "ready";
   }
 
   function handleExecuted(outcome: ExecutionOutcome): void {
-    const id = running?.id ?? "";
-    running = undefined;
+    const id = runningOrder?.id ?? "";
+    runningOrder = undefined;
     if (outcome.kind !== "unknown") return reply(id, outcome);
-    doubtful = { id, message: outcome.message };
-    if (options.checksFencing) return request({ kind: "read_state" });
+    unsettled = { id, message: outcome.message };
+    if (options.checksFencing) return requestEffect({ kind: "read_state" });
     stage = "unsettled";
-    request({ kind: "wait", delayMs: settleMs });
+    requestEffect({ kind: "wait", delayMs: settleMs });
   }
 
-  /** After a wait the state is read, either for a doubtful order or at start. */
+  /** After the wait: at start, the floor is read before the state. */
   function handleSettled(): void {
-    stage = highest === undefined ? "new" : "ready";
-    if (doubtful !== undefined) request({ kind: "read_state" });
+    stage = highestTerm === undefined ? "new" : "ready";
+    if (unsettled !== undefined) requestEffect({ kind: "read_state" });
   }
 
   function enqueue(order: FencedOrder<Order>): void {
--- a/packages/coordination/src/fencing_test.ts
+++ b/packages/coordination/src/fencing_test.ts
@@ -8,8 +8,8 @@
 const key = "leases/association/0";
 const epoch = 3;
 const settleMs = 20_000;
-/** Longer than an order can wait for its turn, its floor and its answer. */
-const patienceMs = 5 * settleMs;
+/** Longer than an order can take to leave the queue, get a floor and run. */
+const answerTimeoutMs = 5 * settleMs;
 
 type Gate = fencing.Gate<string, number>;
 type GateFactory = (checksFencing: boolean) => Gate;
@@ -17,18 +17,21 @@
 const createRealGate: GateFactory = (checksFencing) =>
   fencing.createGate({ checksFencing, settleMs });
 
-/** Passes all orders on at once, without a floor. */
+/** Forwards all orders immediately, without a floor. */
 const createGateWithoutFloor: GateFactory = () => ({
   handle: (event) =>
     event.kind === "order" ? [{ kind: "execute", order: event.order }] : [],
 });
 
-/** Learns the floor, but does not wait for its predecessor's order. */
-const createHastyGate: GateFactory = (checksFencing) =>
+/** Reads the floor, but does not wait for an order of its predecessor. */
+const createGateWithoutWait: GateFactory = (checksFencing) =>
   fencing.createGate({ checksFencing, settleMs: 0 });
 
-/** An engine that takes orders into force after a delay. */
-function createEngine(time: simulation.Simulation, checksFencing: boolean) {
+/** Creates an engine that puts orders in force after a delay. */
+function createEngine(
+  simulatedTime: simulation.Simulation,
+  checksFencing: boolean,
+) {
   const inForce: fencing.OrderTerm[] = [];
   let highest = 0;
   return {
@@ -39,7 +42,7 @@
       onAnswer: (outcome: fencing.ExecutionOutcome) => void,
     ): void {
       const number = fencing.computeEngineFencingNumber(term);
-      time.schedule(() => {
+      simulatedTime.schedule(() => {
         if (checksFencing && number < highest) {
           return onAnswer({ kind: "refused", message: "fenced" });
         }
@@ -51,26 +54,28 @@
   };
 }
 
-interface WorldOptions {
+interface HarnessOptions {
   readonly checksFencing: boolean;
   readonly createGate: GateFactory;
   readonly seed?: number;
 }
 
-/** Three holders in turn, one agent and its engine. */
-function createWorld({ checksFencing, createGate, seed = 1 }: WorldOptions) {
-  const time = simulation.createSimulation();
-  const store = simulation.createSimulatedStore(time, 20);
-  const engine = createEngine(time, checksFencing);
-  const source = random.createRandomSource(seed);
+/** Simulates three candidates for the lease, one agent and its engine. */
+function createHarness(
+  { checksFencing, createGate, seed = 1 }: HarnessOptions,
+) {
+  const simulatedTime = simulation.createSimulation();
+  const store = simulation.createSimulatedStore(simulatedTime, 20);
+  const engine = createEngine(simulatedTime, checksFencing);
+  const randomSource = random.createRandomSource(seed);
   const nodes = Array.from({ length: 3 }, simulation.createNode);
   const leases = nodes.map((node, index) =>
     leaseNode.runLeaseNode({
       id: `entry-${index}`,
       key,
-      simulation: time,
+      simulation: simulatedTime,
       store,
-      random: source,
+      random: randomSource,
       getPlace: () => index,
       node,
     })
@@ -78,8 +83,8 @@
   const answers = new Map<string, fencing.OrderAnswer<number>>();
   let agent = simulation.createNode();
   let gate = createGate(checksFencing);
-  const drawEngineDelayMs = () =>
-    source() < 0.5 ? 10 : (settleMs - 1) * source();
+  const pickEngineDelayMs = () =>
+    randomSource() < 0.5 ? 10 : (settleMs - 1) * randomSource();
   let isAnswerLost = false;
   let sequence = 0;
 
@@ -95,60 +100,63 @@
   }
 
   function feed(event: fencing.GateEvent<string, number>): void {
-    const present = agent;
-    const later = (next: fencing.GateEvent<string, number>) =>
-      present.run(() => feed(next));
+    const currentAgent = agent;
+    const feedLater = (next: fencing.GateEvent<string, number>) =>
+      currentAgent.run(() => feed(next));
     for (const effect of gate.handle(event)) {
       switch (effect.kind) {
         case "answer":
           answers.set(effect.id, effect.answer);
           break;
         case "wait":
-          time.schedule(() => later({ kind: "settled" }), effect);
+          simulatedTime.schedule(() => feedLater({ kind: "settled" }), effect);
           break;
         case "read_floor":
-          readFloor((floor) => later({ kind: "floor", floor }));
+          readFloor((floor) => feedLater({ kind: "floor", floor }));
           break;
         case "read_state":
-          later({ kind: "state", state: engine.inForce.length });
+          feedLater({ kind: "state", state: engine.inForce.length });
           break;
         case "execute": {
           const outcome = isAnswerLost
             ? { kind: "unknown", message: "lost" } as const
             : undefined;
           isAnswerLost = false;
-          engine.execute(effect.order, drawEngineDelayMs(), (answer) => {
+          engine.execute(effect.order, pickEngineDelayMs(), (answer) => {
             if (outcome === undefined) {
-              later({ kind: "executed", outcome: answer });
+              feedLater({ kind: "executed", outcome: answer });
             }
           });
-          if (outcome !== undefined) later({ kind: "executed", outcome });
+          if (outcome !== undefined) feedLater({ kind: "executed", outcome });
           break;
         }
       }
     }
   }
 
-  /** Sends an order if the node believes that it holds the lease. */
-  function order(index: number, delayMs: number): string | undefined {
+  /** Sends an order if the node assumes that it holds the lease. */
+  function sendOrder(index: number, delayMs: number): string | undefined {
     const fencingNumber = leases[index]?.getHeldFencingNumber();
     if (fencingNumber === undefined) return undefined;
     sequence += 1;
     const id = `order-${sequence}`;
     const sent = { id, term: { epoch, fencingNumber, sequence }, order: id };
-    time.schedule(() => agent.run(() => feed({ kind: "order", order: sent })), {
-      delayMs,
-    });
+    simulatedTime.schedule(
+      () => agent.run(() => feed({ kind: "order", order: sent })),
+      {
+        delayMs,
+      },
+    );
     return id;
   }
 
   return {
-    time,
+    simulatedTime,
     store,
     nodes,
     answers,
     engine,
-    order,
+    sendOrder,
     listHolders: () =>
       leases.flatMap((machine, index) =>
         machine.getHeldFencingNumber() === undefined ? [] : [index]
@@ -170,10 +178,10 @@
   };
 }
 
-type World = ReturnType<typeof createWorld>;
+type Harness = ReturnType<typeof createHarness>;
 
 const ms = fc.integer({ min: 1, max: 9_000 });
-const step = fc.oneof(
+const stepArbitrary = fc.oneof(
   { weight: 2, arbitrary: fc.record({ kind: fc.constant("advance"), ms }) },
   { weight: 2, arbitrary: fc.record({ kind: fc.constant("pause_holder") }) },
   { weight: 1, arbitrary: fc.record({ kind: fc.constant("resume_all") }) },
@@ -190,37 +198,38 @@
   },
   { weight: 1, arbitrary: fc.record({ kind: fc.constant("late_write"), ms }) },
 );
-const runs = fc.array(step, { minLength: 5, maxLength: 40 });
+const stepLists = fc.array(stepArbitrary, { minLength: 5, maxLength: 40 });
 
-type Step = typeof step extends fc.Arbitrary<infer Value> ? Value : never;
+type Step = typeof stepArbitrary extends fc.Arbitrary<infer Value> ? Value
+  : never;
 
-function runStep(world: World, taken: Step): void {
-  const durationMs = "ms" in taken ? taken.ms : 0;
-  const [holder = -1] = world.listHolders();
-  switch (taken.kind) {
+function runStep(harness: Harness, step: Step): void {
+  const durationMs = "ms" in step ? step.ms : 0;
+  const [holder = -1] = harness.listHolders();
+  switch (step.kind) {
     case "advance":
-      return world.time.advance(durationMs);
+      return harness.simulatedTime.advance(durationMs);
     case "pause_holder":
-      return world.nodes[holder]?.pause();
+      return harness.nodes[holder]?.pause();
     case "resume_all":
-      return world.resumeAll();
+      return harness.resumeAll();
     case "order":
-      world.order(holder, 1);
-      return world.time.advance(50);
+      harness.sendOrder(holder, 1);
+      return harness.simulatedTime.advance(50);
     case "late_order":
-      return void world.order(holder, durationMs);
+      return void harness.sendOrder(holder, durationMs);
     case "restart_agent":
-      return world.restartAgent();
+      return harness.restartAgent();
     case "lose_engine_answer":
-      return world.loseEngineAnswer();
+      return harness.loseEngineAnswer();
     case "lose_store_answer":
-      return world.store.addFaults({ kind: "answer_lost" });
+      return harness.store.addFaults({ kind: "answer_lost" });
     case "late_write":
-      return world.store.addFaults({ kind: "late", delayMs: durationMs });
+      return harness.store.addFaults({ kind: "late", delayMs: durationMs });
   }
 }
 
-/** Whether no order came into force after one of a later holder. */
+/** Whether no order came into force after one of a feedLater holder. */
 function isOrdered(terms: readonly fencing.OrderTerm[]): boolean {
   return terms.every((term, position) =>
     position === 0 ||
@@ -228,24 +237,24 @@
   );
 }
 
-/** Runs the steps, then lets everything that is on its way arrive. */
+/** Runs the steps, then advances until everything in flight has arrived. */
 function runSteps(
-  options: Omit<WorldOptions, "seed">,
+  options: Omit<HarnessOptions, "seed">,
   steps: readonly Step[],
   seed: number,
-): World {
-  const world = createWorld({ ...options, seed });
-  world.time.advance(2_000);
-  for (const taken of steps) runStep(world, taken);
-  world.resumeAll();
-  world.time.advance(3 * settleMs);
-  return world;
+): Harness {
+  const harness = createHarness({ ...options, seed });
+  harness.simulatedTime.advance(2_000);
+  for (const step of steps) runStep(harness, step);
+  harness.resumeAll();
+  harness.simulatedTime.advance(3 * settleMs);
+  return harness;
 }
 
-/** Runs the property; resolves to whether some run broke the order. */
-function hasCounterexample(options: Omit<WorldOptions, "seed">): boolean {
+/** Runs the property; returns whether a run violated the order of holders. */
+function hasCounterexample(options: Omit<HarnessOptions, "seed">): boolean {
   const property = fc.property(
-    runs,
+    stepLists,
     fc.nat(),
     (steps, seed) => isOrdered(runSteps(options, steps, seed).engine.inForce),
   );
@@ -253,74 +262,83 @@
 }
 
 describe.each([true, false])(
-  "an engine that checks numbers: %s",
+  "engine that checks fencing numbers: %s",
   (checksFencing) => {
     const parameters = { seed: 11, numRuns: 150 };
 
-    test("orders of different holders come into force in their order", () => {
-      const property = fc.property(runs, fc.nat(), (steps, seed) => {
+    test("orders come into force in the order of their holders", () => {
+      const property = fc.property(stepLists, fc.nat(), (steps, seed) => {
         const options = { checksFencing, createGate: createRealGate };
-        const world = runSteps(options, steps, seed);
-        expect(isOrdered(world.engine.inForce)).toBe(true);
-        // The gate must not be safe by refusing everybody.
-        world.keepEngineAnswers();
-        const id = world.order(world.listHolders()[0] ?? -1, 1);
-        world.time.advance(patienceMs);
-        expect(world.answers.get(id ?? "")).toMatchObject({ kind: "done" });
+        const harness = runSteps(options, steps, seed);
+        expect(isOrdered(harness.engine.inForce)).toBe(true);
+        // The gate must not satisfy the property by refusing every order.
+        harness.keepEngineAnswers();
+        const id = harness.sendOrder(harness.listHolders()[0] ?? -1, 1);
+        harness.simulatedTime.advance(answerTimeoutMs);
+        expect(harness.answers.get(id ?? "")).toMatchObject({ kind: "done" });
       });
       fc.assert(property, parameters);
     });
 
-    test("a late order of a dead holder is refused after an agent's restart", () => {
-      const world = createWorld({ checksFencing, createGate: createRealGate });
-      world.time.advance(5_000);
-      const late = world.order(0, 3 * settleMs);
-      world.nodes[0]?.kill();
-      world.time.advance(3 * settleMs - 1_000);
-      expect(world.order(1, 1)).toBeDefined();
-      world.time.advance(500);
-      world.restartAgent();
-      world.time.advance(patienceMs);
-      expect(world.answers.get(late ?? "")).toMatchObject({ kind: "fenced" });
-      expect(world.engine.inForce).toHaveLength(checksFencing ? 1 : 0);
+    test("a delayed order of a dead holder is refused after an agent restart", () => {
+      const harness = createHarness({
+        checksFencing,
+        createGate: createRealGate,
+      });
+      harness.simulatedTime.advance(5_000);
+      const late = harness.sendOrder(0, 3 * settleMs);
+      harness.nodes[0]?.kill();
+      harness.simulatedTime.advance(3 * settleMs - 1_000);
+      expect(harness.sendOrder(1, 1)).toBeDefined();
+      harness.simulatedTime.advance(500);
+      harness.restartAgent();
+      harness.simulatedTime.advance(answerTimeoutMs);
+      expect(harness.answers.get(late ?? "")).toMatchObject({ kind: "fenced" });
+      expect(harness.engine.inForce).toHaveLength(checksFencing ? 1 : 0);
     });
 
-    test("no order runs while the floor cannot be learnt", () => {
-      const world = createWorld({ checksFencing, createGate: createRealGate });
-      world.time.advance(5_000);
-      const refused = world.order(0, 1);
-      world.store.setDown(true);
-      world.time.advance(patienceMs);
-      expect(world.answers.get(refused ?? "")).toMatchObject({
+    test("no order stepLists while the floor cannot be learnt", () => {
+      const harness = createHarness({
+        checksFencing,
+        createGate: createRealGate,
+      });
+      harness.simulatedTime.advance(5_000);
+      const refused = harness.sendOrder(0, 1);
+      harness.store.setDown(true);
+      harness.simulatedTime.advance(answerTimeoutMs);
+      expect(harness.answers.get(refused ?? "")).toMatchObject({
         kind: "not_ready",
       });
-      expect(world.engine.inForce).toEqual([]);
-      world.store.setDown(false);
-      world.time.advance(patienceMs);
-      const accepted = world.order(world.listHolders()[0] ?? -1, 1);
-      world.time.advance(patienceMs);
-      expect(world.answers.get(accepted ?? "")).toEqual({ kind: "done" });
+      expect(harness.engine.inForce).toEqual([]);
+      harness.store.setDown(false);
+      harness.simulatedTime.advance(answerTimeoutMs);
+      const accepted = harness.sendOrder(harness.listHolders()[0] ?? -1, 1);
+      harness.simulatedTime.advance(answerTimeoutMs);
+      expect(harness.answers.get(accepted ?? "")).toEqual({ kind: "done" });
     });
 
-    test("an order whose answer is lost is answered with what is in force", () => {
-      const world = createWorld({ checksFencing, createGate: createRealGate });
-      world.time.advance(5_000);
-      world.loseEngineAnswer();
-      const id = world.order(0, 1);
-      world.time.advance(4 * settleMs);
-      expect(world.answers.get(id ?? "")).toMatchObject({ kind: "unknown" });
+    test("an order whose engine answer is lost gets the outcome unknown", () => {
+      const harness = createHarness({
+        checksFencing,
+        createGate: createRealGate,
+      });
+      harness.simulatedTime.advance(5_000);
+      harness.loseEngineAnswer();
+      const id = harness.sendOrder(0, 1);
+      harness.simulatedTime.advance(4 * settleMs);
+      expect(harness.answers.get(id ?? "")).toMatchObject({ kind: "unknown" });
     });
   },
 );
 
 test.each([
   ["has no floor", createGateWithoutFloor],
-  ["does not wait after a restart", createHastyGate],
-])("the order breaks for a gate that %s", (_name, createGate) => {
+  ["does not wait after a restart", createGateWithoutWait],
+])("the property fails for a gate that %s", (_name, createGate) => {
   expect(hasCounterexample({ checksFencing: false, createGate })).toBe(true);
 });
 
-test("an engine number weighs the epoch more than the fencing number", () => {
+test("the epoch takes precedence over the fencing number in an engine number", () => {
   const older = fencing.computeEngineFencingNumber({
     epoch: 2,
     fencingNumber: 900,
@@ -335,7 +353,7 @@
   ).toThrow("exceeds the range");
 });
 
-test("orders of an epoch that is over are refused, whatever their number", () => {
+test("orders of an earlier epoch are refused whatever their fencing number", () => {
   const gate = fencing.createGate<string, number>({ checksFencing: true });
   const send = (sequence: number, term: fencing.Floor) =>
     gate.handle({
@@ -349,7 +367,7 @@
   expect(send(1, { epoch: 2, fencingNumber: 50 })).toEqual([
     { kind: "read_floor" },
   ]);
-  // The agent learns of the next epoch while the floor is being read.
+  // The next epoch reaches the agent while the floor is being read.
   gate.handle({ kind: "epoch", epoch: 3 });
   gate.handle({ kind: "floor", floor: { epoch: 2, fencingNumber: 50 } });
   expect(gate.handle({ kind: "state", state: 0 })).toMatchObject([
--- a/packages/coordination/src/lease.ts
+++ b/packages/coordination/src/lease.ts
@@ -1,21 +1,24 @@
 /**
- * A lease on one key of a versioned store, as a deterministic state machine:
- * it takes events and returns effects, and neither sleeps nor calls anything.
- * To embed it, give it a clock, a random source, ids and the place of this node
- * among the candidates, and carry out its effects with `lease_driver.ts`.
+ * A lease on one key of a versioned object store, as a deterministic state
+ * machine: it receives events and returns effects, and performs no I/O itself.
+ * To embed it, provide a clock, a random source, unique ids and the index of
+ * this node among the candidates, and execute its effects with
+ * `lease_driver.ts`.
  *
- * - It is acquired and renewed by conditional writes. The fencing number is the
- *   version of the object at the acquisition and rises with each takeover.
- * - The holder counts from before it sent the renewal and stops `marginMs`
- *   early. Others take over once they have seen one version unchanged for
- *   `durationMs` by their own clock; clocks are never compared.
- * - A paused holder may still believe that it holds the lease. Whoever carries
- *   out its orders must compare fencing numbers; see `fencing.ts`.
+ * - The lease is acquired and renewed by conditional writes. The fencing number
+ *   is the version of the object at the acquisition and increases with each
+ *   takeover.
+ * - The holder measures the duration from before it sent the renewal and stops
+ *   `marginMs` before the expiry. Other nodes take over after they have seen one
+ *   version unchanged for `durationMs` by their own clock; clocks of different
+ *   nodes are never compared.
+ * - A paused holder may still assume that it holds the lease, so the receiver of
+ *   its orders must compare fencing numbers; see `fencing.ts`.
  * - A write whose answer was lost is settled by reading back its change id.
- * - The candidates in places 0 and 1 look every `pollIntervalMs`; each later
- *   one looks half as often as the one before it. All candidates of one lease
- *   together cause at most three reads per `pollIntervalMs`, however many nodes
- *   there are, and a list of nodes that names dead ones delays a takeover only.
+ * - Candidates 0 and 1 poll every `pollIntervalMs`; each later candidate polls
+ *   half as often as the candidate before it. All candidates of a lease together
+ *   cause at most three reads per `pollIntervalMs`, however many nodes there
+ *   are, and dead nodes in the list of candidates only delay a takeover.
  */
 import type * as clock from "./clock.ts";
 import * as leaseRecord from "./lease_record.ts";
@@ -25,20 +28,20 @@
 export interface LeaseOptions {
   readonly clock: clock.Clock;
   readonly random: random.RandomSource;
-  /** Returns an id that no other call on any node returns. */
+  /** Returns an id that is unique across all calls and nodes. */
   readonly createId: () => string;
   /** Id of this node, new at each start of its process. */
   readonly holder: string;
-  /** Where others reach this node while it holds the lease. */
+  /** Address of this node for the other nodes while it holds the lease. */
   readonly address: string;
-  /** Returns the place of this node among the candidates; 0 = the first. */
+  /** Returns the index of this node among the candidates; 0 is the first. */
   readonly getCandidateIndex: () => number;
   /** @default 4000 */
   readonly durationMs?: number;
   /** @default 500 */
   readonly marginMs?: number;
   /**
-   * Time between renewals, shortened by up to a quarter at random.
+   * Interval between renewals, shortened by a random jitter of up to a quarter.
    * @default 1200
    */
   readonly renewIntervalMs?: number;
@@ -46,7 +49,7 @@
   readonly pollIntervalMs?: number;
 }
 
-/** `act` looks or renews; `expire` ends the belief in the own lease. */
+/** `act` polls or renews; `expire` ends the holding at the local expiry. */
 export type TimerName = "act" | "expire";
 
 export type LeaseEvent =
@@ -54,7 +57,7 @@
   | { readonly kind: "timer"; readonly name: TimerName }
   | { readonly kind: "read"; readonly outcome: versionedStore.ReadOutcome }
   | { readonly kind: "written"; readonly outcome: versionedStore.WriteOutcome }
-  /** Give the lease up for good. */
+  /** Release the lease and stop. */
   | { readonly kind: "stop" };
 
 export type LeaseEffect =
@@ -64,7 +67,7 @@
     readonly record: leaseRecord.LeaseRecord;
     readonly ifVersion: number;
   }
-  /** Replaces the timer of the same name. */
+  /** Set the named timer, replacing an earlier setting. */
   | {
     readonly kind: "set_timer";
     readonly name: TimerName;
@@ -75,18 +78,19 @@
 
 export interface Lease {
   handle(event: LeaseEvent): readonly LeaseEffect[];
-  /** Returns the fencing number while the lease is held by the clock of now. */
+  /** Returns the fencing number while the lease is held and has not expired. */
   getHeldFencingNumber(): number | undefined;
 }
 
-interface Seen {
+/** Version of the lease object that was read or written last. */
+interface ObservedVersion {
   readonly version: number;
   readonly record: leaseRecord.LeaseRecord | undefined;
-  /** When this version was first seen here. */
+  /** Local time at which this version was first seen. */
   readonly sinceMs: number;
 }
 
-interface Held {
+interface HeldLease {
   readonly fencingNumber: number;
   readonly validUntilMs: number;
 }
@@ -102,22 +106,23 @@
 const defaultPollIntervalMs = 1_000;
 const renewJitter = 0.25;
 const retryDelayMs = 200;
-/** Candidates behind this place never look; the sum of the others is bounded. */
-const maxLookingPlace = 8;
+/** Candidates after this index never poll, which bounds the total reads. */
+const maxPollingIndex = 8;
 
-/** Creates the machine; it does nothing before its `start` event. */
+/** Creates the state machine; it does nothing before its `start` event. */
 export function createLease(options: LeaseOptions): Lease {
   const durationMs = options.durationMs ?? defaultDurationMs;
   const marginMs = options.marginMs ?? defaultMarginMs;
   const renewIntervalMs = options.renewIntervalMs ?? defaultRenewIntervalMs;
   const pollIntervalMs = options.pollIntervalMs ?? defaultPollIntervalMs;
   /** Writes that may have taken effect, by change id. */
-  const sent = new Map<string, SentWrite>();
-  let seen: Seen | undefined;
-  let held: Held | undefined;
+  const unsettled = new Map<string, SentWrite>();
+  let lastSeen: ObservedVersion | undefined;
+  let held: HeldLease | undefined;
   let lastSent: SentWrite | undefined;
-  let lookedAtMs = -Infinity;
-  let isWaiting = false;
+  let lastReadAtMs = -Infinity;
+  /** Whether a call to the store is in flight. */
+  let isInFlight = false;
   let isStopping = false;
   let effects: LeaseEffect[] = [];
 
@@ -126,8 +131,8 @@
   }
 
   function readObject(): void {
-    isWaiting = true;
-    lookedAtMs = options.clock.now();
+    isInFlight = true;
+    lastReadAtMs = options.clock.now();
     effects.push({ kind: "read" });
   }
 
@@ -139,10 +144,10 @@
       fencingNumber,
       released,
     };
-    isWaiting = true;
+    isInFlight = true;
     lastSent = { record, sentAtMs: options.clock.now() };
-    sent.set(record.changeId, lastSent);
-    effects.push({ kind: "write", record, ifVersion: seen?.version ?? 0 });
+    unsettled.set(record.changeId, lastSent);
+    effects.push({ kind: "write", record, ifVersion: lastSeen?.version ?? 0 });
   }
 
   function endHolding(): void {
@@ -151,16 +156,16 @@
     effects.push({ kind: "stopped_holding" });
   }
 
-  function endIfExpired(): void {
+  function checkExpiry(): void {
     if (held === undefined) return;
     if (options.clock.now() >= held.validUntilMs) endHolding();
   }
 
-  /** Takes note that an own write is the present version. */
-  function acceptWrite(write: SentWrite, version: number): void {
+  /** Records that a write of this node produced the current version. */
+  function recordOwnWrite(write: SentWrite, version: number): void {
     const { record, sentAtMs } = write;
-    seen = { version, record, sinceMs: options.clock.now() };
-    sent.clear();
+    lastSeen = { version, record, sinceMs: options.clock.now() };
+    unsettled.clear();
     if (record.released) return endHolding();
     const fencingNumber = leaseRecord.getFencingNumber(record, version);
     const validUntilMs = sentAtMs + durationMs - marginMs;
@@ -169,8 +174,8 @@
       setTimer("act", retryDelayMs);
       return;
     }
-    // A renewal that lands after the belief has ended does not revive it: the
-    // next acquisition brings a new number.
+    // A renewal that is accepted after the local expiry does not revive the
+    // lease; the next acquisition brings a new fencing number.
     if (held === undefined && record.fencingNumber !== 0) {
       setTimer("act", 0);
       return;
@@ -185,58 +190,60 @@
   }
 
   function computePollDelay(): number {
-    const place = options.getCandidateIndex();
-    if (place > maxLookingPlace) return Infinity;
-    return pollIntervalMs * 2 ** Math.max(0, place - 1);
+    const candidateIndex = options.getCandidateIndex();
+    if (candidateIndex > maxPollingIndex) return Infinity;
+    return pollIntervalMs * 2 ** Math.max(0, candidateIndex - 1);
   }
 
-  /** Time at which the version seen last may be taken over. */
-  function computeTakeoverMs(present: Seen): number {
-    const { record, sinceMs } = present;
+  /** Computes when the lease may be taken over from an observed version. */
+  function computeTakeoverMs(observed: ObservedVersion): number {
+    const { record, sinceMs } = observed;
     const isFree = record === undefined || record.released;
-    // The first candidate of a free lease goes ahead of the others.
-    const headStartMs = Math.min(options.getCandidateIndex(), 2) *
+    // The delay lets the first candidate acquire a free lease before the others.
+    const staggerMs = Math.min(options.getCandidateIndex(), 2) *
       pollIntervalMs / 2;
-    return sinceMs + (isFree ? headStartMs : durationMs);
+    return sinceMs + (isFree ? staggerMs : durationMs);
   }
 
-  function setNextLook(takeoverMs: number): void {
+  function schedulePoll(takeoverMs: number): void {
     const nowMs = options.clock.now();
     const untilTakeoverMs = takeoverMs > nowMs ? takeoverMs - nowMs : Infinity;
     setTimer("act", Math.min(pollIntervalMs, untilTakeoverMs));
   }
 
-  function runTurn(): void {
-    if (isWaiting) return;
+  function pollOrRenew(): void {
+    if (isInFlight) return;
     if (held !== undefined) return send(held.fencingNumber, false);
     const nowMs = options.clock.now();
     const delayMs = computePollDelay();
-    const takeoverMs = seen === undefined || options.getCandidateIndex() > 1
+    const takeoverMs = lastSeen === undefined || options.getCandidateIndex() > 1
       ? Infinity
-      : computeTakeoverMs(seen);
+      : computeTakeoverMs(lastSeen);
     const isDue = delayMs !== Infinity &&
-      (nowMs - lookedAtMs >= delayMs || nowMs >= takeoverMs);
+      (nowMs - lastReadAtMs >= delayMs || nowMs >= takeoverMs);
     if (isDue) return readObject();
-    setNextLook(takeoverMs);
+    schedulePoll(takeoverMs);
   }
 
   function observe(version: number, value: unknown): void {
     const record = leaseRecord.parseLeaseRecord(value);
-    const own = record === undefined ? undefined : sent.get(record.changeId);
-    if (own !== undefined) return acceptWrite(own, version);
-    const isNew = seen?.version !== version;
-    if (isNew) seen = { version, record, sinceMs: options.clock.now() };
+    const own = record === undefined
+      ? undefined
+      : unsettled.get(record.changeId);
+    if (own !== undefined) return recordOwnWrite(own, version);
+    const isNew = lastSeen?.version !== version;
+    if (isNew) lastSeen = { version, record, sinceMs: options.clock.now() };
     if (isNew && held !== undefined) endHolding();
     decide();
   }
 
   function decide(): void {
     if (held !== undefined) return send(held.fencingNumber, false);
-    if (seen === undefined) return;
-    const isOwn = seen.record?.holder === options.holder;
-    const takeoverMs = computeTakeoverMs(seen);
+    if (lastSeen === undefined) return;
+    const isOwn = lastSeen.record?.holder === options.holder;
+    const takeoverMs = computeTakeoverMs(lastSeen);
     if (isOwn || options.clock.now() >= takeoverMs) return send(0, false);
-    setNextLook(takeoverMs);
+    schedulePoll(takeoverMs);
   }
 
   function handleRead(outcome: versionedStore.ReadOutcome): void {
@@ -256,30 +263,30 @@
   function handleWritten(outcome: versionedStore.WriteOutcome): void {
     switch (outcome.kind) {
       case "accepted":
-        if (lastSent !== undefined) acceptWrite(lastSent, outcome.version);
+        if (lastSent !== undefined) recordOwnWrite(lastSent, outcome.version);
         return;
       case "conflict":
       case "unknown":
         return readObject();
       case "unavailable":
-        if (lastSent !== undefined) sent.delete(lastSent.record.changeId);
+        if (lastSent !== undefined) unsettled.delete(lastSent.record.changeId);
         return setTimer("act", retryDelayMs * (1 + options.random()));
     }
   }
 
   function stop(): void {
     isStopping = true;
-    const wasHeld = held !== undefined;
+    const wasHolding = held !== undefined;
     endHolding();
-    if (wasHeld && !isWaiting) send(0, true);
+    if (wasHolding && !isInFlight) send(0, true);
   }
 
-  /** A lease that is being given up reacts to nothing but its last renewal. */
+  /** While stopping, releases a renewal that was still in flight. */
   function handleWhileStopping(event: LeaseEvent): void {
-    const isLateRenewal = event.kind === "written" &&
+    const isPendingRenewal = event.kind === "written" &&
       event.outcome.kind === "accepted" && lastSent?.record.released === false;
-    if (!isLateRenewal) return;
-    seen = {
+    if (!isPendingRenewal) return;
+    lastSeen = {
       version: event.outcome.version,
       record: lastSent?.record,
       sinceMs: options.clock.now(),
@@ -288,14 +295,14 @@
   }
 
   function dispatch(event: LeaseEvent): void {
-    if (event.kind === "read" || event.kind === "written") isWaiting = false;
+    if (event.kind === "read" || event.kind === "written") isInFlight = false;
     if (isStopping) return handleWhileStopping(event);
-    endIfExpired();
+    checkExpiry();
     switch (event.kind) {
       case "start":
         return setTimer("act", pollIntervalMs * options.random());
       case "timer":
-        return event.name === "act" ? runTurn() : undefined;
+        return event.name === "act" ? pollOrRenew() : undefined;
       case "read":
         return handleRead(event.outcome);
       case "written":
--- a/packages/coordination/src/lease_driver.ts
+++ b/packages/coordination/src/lease_driver.ts
@@ -1,4 +1,4 @@
-/** Carries out the effects of a lease on a store and timers that are passed in. */
+/** Executes the effects of a lease with the given store and timers. */
 import type * as lease from "./lease.ts";
 import type * as versionedStore from "./versioned_store.ts";
 
@@ -8,31 +8,31 @@
   readonly key: string;
   readonly store: versionedStore.VersionedStore;
   readonly schedule: versionedStore.Schedule;
-  /** Ends everything at once, without giving the lease up. */
+  /** Stops immediately, without releasing the lease. */
   readonly signal: AbortSignal;
   readonly onStarted?: (fencingNumber: number) => void;
   readonly onStopped?: () => void;
 }
 
-/** A lease that runs. */
+/** Handle of a running lease. */
 export interface LeaseDriver {
-  /** Gives the lease up; resolves when the store has answered. */
+  /** Releases the lease; resolves when the store has answered. */
   release(): Promise<void>;
 }
 
-/** Starts the lease; it runs until the signal aborts. */
+/** Runs the lease until the signal aborts. */
 export function driveLease(options: LeaseDriverOptions): LeaseDriver {
   const { key, store, signal } = options;
   const timers = new Map<lease.TimerName, AbortController>();
 
   function setTimer(name: lease.TimerName, delayMs: number): void {
     timers.get(name)?.abort();
-    const replaced = new AbortController();
-    timers.set(name, replaced);
+    const timer = new AbortController();
+    timers.set(name, timer);
     options.schedule(() => {
-      if (replaced.signal.aborted || signal.aborted) return;
+      if (timer.signal.aborted || signal.aborted) return;
       void feed({ kind: "timer", name });
-    }, { delayMs, signal: replaced.signal });
+    }, { delayMs, signal: timer.signal });
   }
 
   async function execute(effect: lease.LeaseEffect): Promise<void> {
@@ -59,7 +59,7 @@
   }
 
   signal.addEventListener("abort", () => {
-    for (const timer of timers.values()) timer.abort();
+    for (const active of timers.values()) active.abort();
   }, { once: true });
   void feed({ kind: "start" });
   return { release: () => feed({ kind: "stop" }) };
--- a/packages/coordination/src/lease_record.ts
+++ b/packages/coordination/src/lease_record.ts
@@ -1,23 +1,23 @@
-/** The object that a lease is in the store. */
+/** The stored object that represents a lease. */
 
 /** Value of a lease object. */
 export interface LeaseRecord {
-  /** Id of the holder, new at each start of its process; "" = nobody yet. */
+  /** Id of the holder, new at each start of its process; "" without a holder. */
   readonly holder: string;
-  /** Where the holder can be reached. */
+  /** Address at which the holder can be reached. */
   readonly address: string;
-  /** Id of the write that made this value. */
+  /** Id of the write that produced this value. */
   readonly changeId: string;
   /**
-   * Version of the object when the holder acquired it; 0 in the acquiring
-   * write itself, whose version is not known before it is accepted.
+   * Version of the object at the acquisition by the holder; 0 in the acquiring
+   * write itself, whose version is unknown until the write is accepted.
    */
   readonly fencingNumber: number;
-  /** True when the holder gave the lease up before it expired. */
+  /** True when the holder released the lease before its expiry. */
   readonly released: boolean;
 }
 
-/** Parses a stored value; undefined when it is no lease. */
+/** Parses a stored value; undefined when the value is not a lease. */
 export function parseLeaseRecord(value: unknown): LeaseRecord | undefined {
   if (typeof value !== "object" || value === null) return undefined;
   const fields = value as Partial<Record<keyof LeaseRecord, unknown>>;
