--- a/packages/anvilhinge/src/agent/assignment_follower.ts
+++ b/packages/anvilhinge/src/agent/assignment_follower.ts
@@ -65,7 +65,7 @@
       try {
         await followEntry(address);
       } catch {
-        // A new stream is opened below after a delay, possibly to another entry.
+        // A new stream is opened after a delay, possibly to another entry.
       }
       followed.delete(address);
       if (!options.signal.aborted) options.onDisconnect?.(address);
--- a/packages/anvilhinge/src/agent/frame_logs.ts
+++ b/packages/anvilhinge/src/agent/frame_logs.ts
@@ -1,6 +1,6 @@
 /**
- * The frames of all attempts of one agent, retained for resumes up to a limit in
- * bytes. Above the limit, the frames of finished attempts are evicted first,
+ * The frames of all attempts of one agent, retained for resumes up to a limit
+ * in bytes. Above the limit, the frames of finished attempts are evicted first,
  * those of non-repeatable work last among them; then the oldest frames of the
  * largest running attempt.
  */
@@ -17,7 +17,7 @@
   /** Allows eviction of the frames before those of running attempts. */
   finish(attemptId: string): void;
   remove(attemptId: string): void;
-  /** Returns the frames from a sequence number on; undefined if some are gone. */
+  /** Returns the frames from a sequence number on; undefined if incomplete. */
   read(
     attemptId: string,
     fromSequence: number,
--- a/packages/anvilhinge/src/agent/orders.ts
+++ b/packages/anvilhinge/src/agent/orders.ts
@@ -1,8 +1,8 @@
 /**
  * Passes orders to the engine beside the agent through the fencing gate, whose
- * effects are executed here. The gate's floor is read from the object store: the
- * epoch from the group's assignment, the fencing number from the lease of the
- * owner's duty.
+ * effects are executed here. The gate's floor is read from the object store:
+ * the epoch from the group's assignment, the fencing number from the lease of
+ * the owner's duty.
  */
 import * as fencing from "@anvilhinge/coordination/fencing";
 import * as leaseRecord from "@anvilhinge/coordination/lease_record";
--- a/packages/anvilhinge/src/agent/ranks/map_rebalancer.ts
+++ b/packages/anvilhinge/src/agent/ranks/map_rebalancer.ts
@@ -155,8 +155,8 @@
 
   /**
    * Merges the experts of all ranks into one map; undefined while the ranks
-   * differ in epoch or map version. A rank without a snapshot is assumed to hold
-   * the experts that no other rank holds.
+   * differ in epoch or map version. A rank without a snapshot is assumed to
+   * hold the experts that no other rank holds.
    */
   function mergeMap(
     snapshots: GroupSnapshot,
@@ -325,8 +325,8 @@
     logger.info(isSwitched ? "Switched the map" : "Map switch aborted", {
       group: own.group,
       epoch: own.epoch,
-      skewBefore: roundToHundredths(skewBefore),
-      skewAfter: roundToHundredths(skewAfter),
+      skewBefore: trimDecimals(skewBefore),
+      skewAfter: trimDecimals(skewAfter),
       copies,
       tookMs: Math.round(scheduler.now() - startedAtMs),
       phaseMs,
@@ -357,8 +357,8 @@
   /**
    * Computes how many passes ahead a switch is scheduled. With a shorter lead
    * than arming takes, the pass has to wait for the last rank; a longer lead
-   * keeps the old map in use for longer. Answers are lost in bursts, so one lost
-   * answer makes further losses likely.
+   * keeps the old map in use for longer. Answers are lost in bursts, so one
+   * lost answer makes further losses likely.
    */
   function computeLeadPasses(maxSendCount: number): number {
     const nowMs = scheduler.now();
@@ -511,6 +511,6 @@
   return Math.min(1, running / Math.max(1, slots * answered.length));
 }
 
-function roundToHundredths(value: number): number {
+function trimDecimals(value: number): number {
   return Math.round(value * 100) / 100;
 }
--- a/packages/anvilhinge/src/agent/ranks/rank_rpc.ts
+++ b/packages/anvilhinge/src/agent/ranks/rank_rpc.ts
@@ -1,7 +1,7 @@
 /**
- * Remote calls over datagrams from the leader to the agents of the ranks. A call
- * is retransmitted until it is answered, and executed once however often it
- * arrives.
+ * Remote calls over datagrams from the leader to the agents of the ranks. A
+ * call is retransmitted until it is answered, and executed once however often
+ * it arrives.
  */
 import type * as rankOrders from "@anvilhinge/coordination/maps/rank_orders";
 import type * as datagrams from "../../adapters/datagrams.ts";
--- a/packages/anvilhinge/src/agent/ranks/remote_engine.ts
+++ b/packages/anvilhinge/src/agent/ranks/remote_engine.ts
@@ -1,4 +1,4 @@
-/** Access to the engine beside another agent, whether that agent runs or not. */
+/** Access to the engine beside another agent, which may not be running. */
 import * as delay from "../../adapters/delay.ts";
 import type * as rankEngine from "../../ports/rank_engine.ts";
 import type * as scheduler from "../../ports/scheduler.ts";
--- a/packages/anvilhinge/src/agent/start_guard.ts
+++ b/packages/anvilhinge/src/agent/start_guard.ts
@@ -1,5 +1,5 @@
 /**
- * Prevents attempts from starting at an agent when they must not start any more.
+ * Prevents attempts from starting at an agent after their start was ruled out.
  * An attempt carries the agent's incarnation and the time by which it must
  * start, so a record is needed only until that time, however late a duplicate
  * call arrives.
--- a/packages/coordination/src/bundle.ts
+++ b/packages/coordination/src/bundle.ts
@@ -1,8 +1,7 @@
 /**
- * Bundles of control duties. A duty is identified by a key, for example the name
- * of the group that it controls. Each bundle has one lease, so a fixed number of
- * bundles keeps the number of leases independent of the number of duties and
- * nodes.
+ * Bundles of control duties. A duty is identified by a key, for example the
+ * name of the group that it controls. A fixed number of bundles keeps the number
+ * of leases independent of the number of duties and nodes.
  */
 import murmurhash from "murmurhash";
 import * as rendezvous from "./rendezvous.ts";
@@ -14,8 +13,8 @@
 
 /**
  * Returns the index of `id` among the candidates for a lease, in rendezvous
- * order. A node that is missing from the members, for example because their list
- * lags, is treated as a member.
+ * order. A node that is missing from the members, for example because their
+ * list lags, is treated as a member.
  */
 export function computeCandidateIndex(
   members: readonly rendezvous.Member[],
--- a/packages/coordination/src/fencing.ts
+++ b/packages/coordination/src/fencing.ts
@@ -4,8 +4,8 @@
  * number) with the highest accepted term and never accepts a lower term.
  *
  * A new gate has no state, so it first reads the floor (the lowest term that is
- * still accepted) from the object store, and then reads back what the engine has
- * in force. It runs one order at a time. An engine that ignores fencing numbers
+ * still accepted) from the object store, then reads back what the engine has in
+ * force. It runs one order at a time. An engine that ignores fencing numbers
  * must be reachable through its gate only: before reading back, the gate waits
  * until an order that its predecessor may have left in flight has either taken
  * effect or been abandoned (`settleMs`).
@@ -144,7 +144,7 @@
   let minEpoch = 0;
   let isBusy = false;
   let runningOrder: FencedOrder<Order> | undefined;
-  /** Order with an unknown outcome; the engine's state is read for its answer. */
+  /** Order with an unknown outcome, answered after reading the engine's state. */
   let unsettled: { readonly id: string; readonly message: string } | undefined;
   let effects: GateEffect<Order, State>[] = [];
 
@@ -203,7 +203,7 @@
     if (floor === undefined) {
       return refuseQueued("The floor could not be read from the store");
     }
-    // Lower than every sequence number, so that the current holder's orders pass.
+    // Below every sequence number, so that the current holder's orders pass.
     highestTerm = { ...floor, sequence: -1 };
     raiseEpoch(minEpoch);
     requestEffect({ kind: "read_state" });
--- a/packages/coordination/src/lease.ts
+++ b/packages/coordination/src/lease.ts
@@ -9,16 +9,16 @@
  *   is the version of the object at the acquisition and increases with each
  *   takeover.
  * - The holder measures the duration from before it sent the renewal and stops
- *   `marginMs` before the expiry. Other nodes take over after they have seen one
- *   version unchanged for `durationMs` by their own clock; clocks of different
- *   nodes are never compared.
- * - A paused holder may still assume that it holds the lease, so the receiver of
- *   its orders must compare fencing numbers; see `fencing.ts`.
+ *   `marginMs` before the expiry. Other nodes take over after they have seen
+ *   one version unchanged for `durationMs` by their own clock; clocks of
+ *   different nodes are never compared.
+ * - A paused holder may still assume that it holds the lease, so the receiver
+ *   of its orders must compare fencing numbers; see `fencing.ts`.
  * - A write whose answer was lost is settled by reading back its change id.
  * - Candidates 0 and 1 poll every `pollIntervalMs`; each later candidate polls
- *   half as often as the candidate before it. All candidates of a lease together
- *   cause at most three reads per `pollIntervalMs`, however many nodes there
- *   are, and dead nodes in the list of candidates only delay a takeover.
+ *   half as often as the candidate before it. All candidates of a lease
+ *   together cause at most three reads per `pollIntervalMs`, however many nodes
+ *   there are, and dead nodes in the list of candidates only delay a takeover.
  */
 import type * as clock from "./clock.ts";
 import * as leaseRecord from "./lease_record.ts";
@@ -199,7 +199,7 @@
   function computeTakeoverMs(observed: ObservedVersion): number {
     const { record, sinceMs } = observed;
     const isFree = record === undefined || record.released;
-    // The delay lets the first candidate acquire a free lease before the others.
+    // Staggers the candidates, so that the first one acquires a free lease.
     const staggerMs = Math.min(options.getCandidateIndex(), 2) *
       pollIntervalMs / 2;
     return sinceMs + (isFree ? staggerMs : durationMs);
