--- a/packages/anvilhinge/src/agent/assignment_gate.ts
+++ b/packages/anvilhinge/src/agent/assignment_gate.ts
@@ -1,10 +1,10 @@
 /**
  * Delays the assignments that a starting agent receives from entries until the
  * agent has read its assignment record from the object store. Otherwise an
- * entry with an outdated view could announce a leaving group as still serving to
- * a restarted agent, although the agent's previous incarnation has already
- * reported that group as drained. While the object store is unavailable, no move
- * can complete, so the assignments from entries suffice.
+ * entry with an outdated view could announce a leaving group as still serving
+ * to a restarted agent, although the agent's previous incarnation has already
+ * reported that group as drained. While the object store is unavailable, no
+ * move can complete, so the assignments from entries suffice.
  */
 import type * as assignment from "@anvilhinge/coordination/assignment";
 import * as assignmentCodec from "../adapters/assignment_codec.ts";
--- a/packages/anvilhinge/src/agent/attempts.ts
+++ b/packages/anvilhinge/src/agent/attempts.ts
@@ -70,7 +70,7 @@
   state: "running" | "finished";
   /** True when a follower received the last frame, or none ever will. */
   isDelivered: boolean;
-  /** Time of the end or of the loss of the last follower. */
+  /** Time of the start, of the end, or of the loss of the last follower. */
   changedAtMs: number;
 }
 
--- a/packages/anvilhinge/src/agent/ranks/rank_agent.ts
+++ b/packages/anvilhinge/src/agent/ranks/rank_agent.ts
@@ -60,11 +60,11 @@
   handleMessage(message: RankMessage, from: string): void;
 }
 
-/** Interval between reads of the local engine. */
+/** Interval between reads of the local engine; one tick. */
 const statusIntervalMs = 100;
-/** Interval between status messages of the ranks that may lead next. */
+/** Ticks between status messages of a rank that may lead next. */
 const candidateStatusTicks = 1;
-/** Interval between status messages of all other ranks. */
+/** Ticks between status messages of any other rank. */
 const otherStatusTicks = 10;
 /** Interval between iterations of the leader; about one forward pass. */
 const leaderIntervalMs = 50;
@@ -116,9 +116,7 @@
       : otherStatusTicks;
     if (tickCount % interval !== 0) return;
     const live = peers.listLive().map(({ address }) => address);
-    for (
-      const address of new Set([...options.listAddresses(), ...live])
-    ) {
+    for (const address of new Set([...options.listAddresses(), ...live])) {
       sockets.send(message, address);
     }
   }
--- a/packages/coordination/src/bundle.ts
+++ b/packages/coordination/src/bundle.ts
@@ -1,7 +1,7 @@
 /**
  * Bundles of control duties. A duty is identified by a key, for example the
- * name of the group that it controls. A fixed number of bundles keeps the number
- * of leases independent of the number of duties and nodes.
+ * name of the group that it controls. A fixed number of bundles keeps the
+ * number of leases independent of the number of duties and nodes.
  */
 import murmurhash from "murmurhash";
 import * as rendezvous from "./rendezvous.ts";
--- a/packages/coordination/src/fencing.ts
+++ b/packages/coordination/src/fencing.ts
@@ -5,10 +5,10 @@
  *
  * A new gate has no state, so it first reads the floor (the lowest term that is
  * still accepted) from the object store, then reads back what the engine has in
- * force. It runs one order at a time. An engine that ignores fencing numbers
- * must be reachable through its gate only: before reading back, the gate waits
- * until an order that its predecessor may have left in flight has either taken
- * effect or been abandoned (`settleMs`).
+ * force. It runs one order at a time. If the engine ignores fencing numbers, the
+ * gate must be the only path to it, and before reading back it waits until an
+ * order that its predecessor may have left in flight has either taken effect or
+ * been abandoned (`settleMs`).
  *
  * Deterministic state machine; the embedder executes its effects.
  */
@@ -144,8 +144,8 @@
   let minEpoch = 0;
   let isBusy = false;
   let runningOrder: FencedOrder<Order> | undefined;
-  /** Order with an unknown outcome, answered after reading the engine's state. */
-  let unsettled: { readonly id: string; readonly message: string } | undefined;
+  /** Order with an unknown outcome; answered once the state has been read. */
+  let openOrder: { readonly id: string; readonly message: string } | undefined;
   let effects: GateEffect<Order, State>[] = [];
 
   function reply(id: string, answer: OrderAnswer<State>): void {
@@ -210,9 +210,9 @@
   }
 
   function handleState(state: State | undefined): void {
-    if (unsettled !== undefined) {
-      const { id, message } = unsettled;
-      unsettled = undefined;
+    if (openOrder !== undefined) {
+      const { id, message } = openOrder;
+      openOrder = undefined;
       if (state === undefined) stage = "unsettled";
       return reply(id, { kind: "unknown", message, inForce: state });
     }
@@ -226,16 +226,16 @@
     const id = runningOrder?.id ?? "";
     runningOrder = undefined;
     if (outcome.kind !== "unknown") return reply(id, outcome);
-    unsettled = { id, message: outcome.message };
+    openOrder = { id, message: outcome.message };
     if (options.checksFencing) return requestEffect({ kind: "read_state" });
     stage = "unsettled";
     requestEffect({ kind: "wait", delayMs: settleMs });
   }
 
-  /** After the wait: at start, the floor is read before the state. */
+  /** Continues after the wait at start or for an order with an open outcome. */
   function handleSettled(): void {
     stage = highestTerm === undefined ? "new" : "ready";
-    if (unsettled !== undefined) requestEffect({ kind: "read_state" });
+    if (openOrder !== undefined) requestEffect({ kind: "read_state" });
   }
 
   function enqueue(order: FencedOrder<Order>): void {
--- a/packages/coordination/src/lease.ts
+++ b/packages/coordination/src/lease.ts
@@ -49,7 +49,7 @@
   readonly pollIntervalMs?: number;
 }
 
-/** `act` polls or renews; `expire` ends the holding at the local expiry. */
+/** `act` polls or renews; `expire` stops the holder when the lease expires. */
 export type TimerName = "act" | "expire";
 
 export type LeaseEvent =
