--- a/packages/anvilhinge/src/agent/ranks/map_rebalancer.ts
+++ b/packages/anvilhinge/src/agent/ranks/map_rebalancer.ts
@@ -36,7 +36,7 @@
    * Runs one iteration of the leader; resolves when it has finished. Must not
    * be called while an iteration is in progress.
    */
-  tick(own: rankPeers.RankStatus): Promise<void>;
+  tick(status: rankPeers.RankStatus): Promise<void>;
   /** Discards the collected counts of an agent that no longer leads. */
   reset(): void;
 }
@@ -139,10 +139,10 @@
 
   /** Reads all ranks; a rank that does not answer is undefined. */
   async function collectSnapshots(
-    own: rankPeers.RankStatus,
+    status: rankPeers.RankStatus,
     callOptions: rankCallRouter.CallOptions,
   ): Promise<GroupSnapshot> {
-    const ranks = Array.from({ length: own.size }, (_, rank) => rank);
+    const ranks = Array.from({ length: status.size }, (_, rank) => rank);
     const answers = await Promise.all(
       ranks.map((rank) =>
         options.callRank(rank, { kind: "experts" }, callOptions)
@@ -160,14 +160,14 @@
    */
   function mergeMap(
     snapshots: GroupSnapshot,
-    own: rankPeers.RankStatus,
+    status: rankPeers.RankStatus,
   ): GroupMap | undefined {
     const version = snapshots.find((snapshot) => snapshot)?.experts.version;
     const isConsistent = snapshots.every((snapshot, rank) =>
       snapshot === undefined ||
       (snapshot.report.state.rank === rank &&
-        snapshot.report.state.epoch === own.epoch &&
-        snapshot.experts.epoch === own.epoch &&
+        snapshot.report.state.epoch === status.epoch &&
+        snapshot.experts.epoch === status.epoch &&
         snapshot.experts.version === version)
     );
     if (!isConsistent) return undefined;
@@ -189,7 +189,7 @@
   }
 
   function runRound(
-    own: rankPeers.RankStatus,
+    status: rankPeers.RankStatus,
     event: switchRound.RoundEvent,
     /** Rank that is expected not to answer; its first read times out early. */
     silentRank?: number,
@@ -198,9 +198,9 @@
     let expectedSilentRank = silentRank;
     let phaseSinceMs = scheduler.now();
     const round = switchRound.createSwitchRound({
-      ownRank: own.rank,
-      rankCount: own.size,
-      epoch: own.epoch,
+      ownRank: status.rank,
+      rankCount: status.size,
+      epoch: status.epoch,
       computeLeadPasses,
       lastHeldStep: lastHeldStep ?? 0,
       createVersion: options.createVersion,
@@ -231,7 +231,7 @@
           rank,
           effect.kind === "read"
             ? { kind: "report" }
-            : { kind: "order", order: effect.order, epoch: own.epoch },
+            : { kind: "order", order: effect.order, epoch: status.epoch },
           chooseRoute(effect, round.getPhase(), isSilent),
         );
         feed(convertAnswer(answer, { call, rank }));
@@ -242,36 +242,43 @@
   }
 
   /** Searches a stalled group for a hold and ends it. */
-  async function endHold(own: rankPeers.RankStatus): Promise<void> {
+  async function endHold(status: rankPeers.RankStatus): Promise<void> {
     pausedUntilMs = scheduler.now() + retryDelayMs;
     const firstRead = {
       timeoutMs: stalledReadTimeoutMs,
       route: "agent",
     } as const;
-    const first = await collectSnapshots(own, firstRead);
+    const first = await collectSnapshots(status, firstRead);
     const snapshots = isConclusive(first)
       ? first
-      : await collectSnapshots(own, {
+      : await collectSnapshots(status, {
         timeoutMs: urgentReadTimeoutMs,
         route: "either",
       });
     const held = findHeldState(snapshots);
     if (held === undefined && isConclusive(snapshots)) return;
-    const map = isConclusive(snapshots) ? mergeMap(snapshots, own) : undefined;
+    const map = isConclusive(snapshots)
+      ? mergeMap(snapshots, status)
+      : undefined;
     if (held?.heldStep === undefined || map === undefined) {
       logger.warn("The group is stalled and its state can't be determined", {
-        group: own.group,
-        epoch: own.epoch,
-        stalledMs: Math.round(own.stalledMs),
+        group: status.group,
+        epoch: status.epoch,
+        stalledMs: Math.round(status.stalledMs),
         silentRanks: listSilentRanks(snapshots),
       });
       return;
     }
     const { rank, heldStep } = held;
-    const details = { group: own.group, epoch: own.epoch, rank, heldStep };
+    const details = {
+      group: status.group,
+      epoch: status.epoch,
+      rank,
+      heldStep,
+    };
     const [silentRank] = listSilentRanks(snapshots);
     logger.warn("Ending an abandoned hold", { ...details, silentRank });
-    const { outcome, phaseMs } = await runRound(own, {
+    const { outcome, phaseMs } = await runRound(status, {
       kind: "clear",
       heldRank: rank,
       heldStep,
@@ -285,7 +292,7 @@
   }
 
   async function switchMap(
-    own: rankPeers.RankStatus,
+    status: rankPeers.RankStatus,
     { map, popularity, allowedSkew }: {
       readonly map: GroupMap;
       readonly popularity: countsWindow.Popularity;
@@ -310,7 +317,7 @@
       return;
     }
     const startedAtMs = scheduler.now();
-    const { outcome, phaseMs } = await runRound(own, {
+    const { outcome, phaseMs } = await runRound(status, {
       kind: "start",
       layers: plan.map.layers,
       currentLayers: map.layers,
@@ -323,8 +330,8 @@
     if (isSwitched) switchStep = outcome.step;
     else pausedUntilMs = scheduler.now() + retryDelayMs;
     logger.info(isSwitched ? "Switched the map" : "Map switch aborted", {
-      group: own.group,
-      epoch: own.epoch,
+      group: status.group,
+      epoch: status.epoch,
       skewBefore: trimDecimals(skewBefore),
       skewAfter: trimDecimals(skewAfter),
       copies,
@@ -382,40 +389,40 @@
   }
 
   /** Sets a bound on the passes of this epoch that this rank may have held. */
-  function enterEpoch(own: rankPeers.RankStatus): void {
-    if (enteredEpoch === own.epoch) return;
+  function enterEpoch(status: rankPeers.RankStatus): void {
+    if (enteredEpoch === status.epoch) return;
     // Orders of an earlier epoch have no effect. After a restart within the
     // epoch, the orders that this rank gave before the restart are unknown.
-    lastHeldStep = options.isEpochNew(own.epoch)
+    lastHeldStep = options.isEpochNew(status.epoch)
       ? 0
-      : own.step + switchRound.maxAheadPasses;
-    enteredEpoch = own.epoch;
+      : status.step + switchRound.maxAheadPasses;
+    enteredEpoch = status.epoch;
     switchStep = 0;
   }
 
   return {
-    async tick(own) {
-      enterEpoch(own);
-      observePass(own);
+    async tick(status) {
+      enterEpoch(status);
+      observePass(status);
       const popularity = await samplePopularity();
       const isDue = popularity !== undefined &&
         popularity.agreeingSamples >= minAgreeingSamples &&
-        own.step >= switchStep &&
+        status.step >= switchStep &&
         scheduler.now() >= pausedUntilMs;
-      const isStalled = own.stalledMs >=
+      const isStalled = status.stalledMs >=
         Math.max(stallThresholdMs, stallThresholdPasses * passMs);
-      if (isStalled || own.heldStep !== undefined) {
-        if (scheduler.now() >= pausedUntilMs) await endHold(own);
+      if (isStalled || status.heldStep !== undefined) {
+        if (scheduler.now() >= pausedUntilMs) await endHold(status);
         return;
       }
       if (popularity === undefined || !isDue) return;
-      const snapshots = await collectSnapshots(own, {
+      const snapshots = await collectSnapshots(status, {
         timeoutMs: readTimeoutMs,
         route: "agent",
       });
       const answered = snapshots.flatMap((snapshot) => snapshot ?? []);
-      const map = answered.length === own.size
-        ? mergeMap(snapshots, own)
+      const map = answered.length === status.size
+        ? mergeMap(snapshots, status)
         : undefined;
       const isFree = map?.states.every(({ heldStep }) =>
         heldStep === undefined
@@ -430,7 +437,7 @@
       const { shares } = popularity;
       const skew = boundedPlanner.measureSkew({ map, shares });
       if (skew <= allowedSkew) return;
-      return switchMap(own, { map, popularity, allowedSkew });
+      return switchMap(status, { map, popularity, allowedSkew });
     },
     reset() {
       window.reset();
--- a/packages/anvilhinge/src/agent/ranks/stall_detector.ts
+++ b/packages/anvilhinge/src/agent/ranks/stall_detector.ts
@@ -9,7 +9,7 @@
 }
 
 export interface StallDetector {
-  /** Returns the time since the last pass began, in milliseconds. */
+  /** Returns the time since the last pass began, in milliseconds; 0 if idle. */
   observe(sample: PassSample): number;
 }
 
--- a/packages/coordination/src/fencing.ts
+++ b/packages/coordination/src/fencing.ts
@@ -5,10 +5,10 @@
  *
  * A new gate has no state, so it first reads the floor (the lowest term that is
  * still accepted) from the object store, then reads back what the engine has in
- * force. It runs one order at a time. If the engine ignores fencing numbers, the
- * gate must be the only path to it, and before reading back it waits until an
- * order that its predecessor may have left in flight has either taken effect or
- * been abandoned (`settleMs`).
+ * force. It runs one order at a time. If the engine ignores fencing numbers,
+ * the gate must be the only path to it, and before reading back it waits until
+ * an order that its predecessor may have left in flight has either taken effect
+ * or been abandoned (`settleMs`).
  *
  * Deterministic state machine; the embedder executes its effects.
  */
--- a/packages/coordination/src/lease.ts
+++ b/packages/coordination/src/lease.ts
@@ -227,10 +227,10 @@
 
   function observe(version: number, value: unknown): void {
     const record = leaseRecord.parseLeaseRecord(value);
-    const own = record === undefined
+    const ownWrite = record === undefined
       ? undefined
       : unsettled.get(record.changeId);
-    if (own !== undefined) return recordOwnWrite(own, version);
+    if (ownWrite !== undefined) return recordOwnWrite(ownWrite, version);
     const isNew = lastSeen?.version !== version;
     if (isNew) lastSeen = { version, record, sinceMs: options.clock.now() };
     if (isNew && held !== undefined) endHolding();
