--- a/packages/anvilhinge/src/entry/session/agent_client.ts
+++ b/packages/anvilhinge/src/entry/session/agent_client.ts
@@ -1,15 +1,15 @@
-/** Calls agents with connect-es; one HTTP/2 connection for each agent in use. */
+/** Calls agents with connect-es over one HTTP/2 connection per agent. */
 import * as connect from "@connectrpc/connect";
 import * as connectNode from "@connectrpc/connect-node";
 import * as frameCodec from "../../adapters/frame_codec.ts";
 import * as agentPb from "../../gen/anvilhinge/v1/agent_pb.ts";
 import type * as frames from "../../ports/frames.ts";
 
-/** How a stream of frames ended on the side of the entry. */
+/** How a stream of frames ended, as observed by the entry. */
 export type StreamEnd =
-  /** The agent closed it after its last frame. */
+  /** The agent closed the stream without an error. */
   | { readonly kind: "closed" }
-  /** It broke; `sent` is false when the request never left this node. */
+  /** The stream failed; `sent` is false if the request never left this node. */
   | {
     readonly kind: "broken";
     readonly sent: boolean;
@@ -17,7 +17,7 @@
   };
 
 export interface StreamOptions {
-  /** Id of the upstream that is meant. */
+  /** Id of the upstream to which the attempt is addressed. */
   readonly upstreamId?: string;
   readonly address: string;
   readonly headers?: Readonly<Record<string, string>>;
@@ -26,7 +26,7 @@
   readonly onEnd: (end: StreamEnd) => void;
 }
 
-/** Part of an attempt that is asked for again. */
+/** Requests the frames of an attempt from a sequence number on. */
 export interface ResumeRequest {
   readonly requestId: string;
   readonly attemptId: string;
@@ -34,7 +34,7 @@
   readonly fromSequence: number;
 }
 
-/** Names one attempt. */
+/** Identifies one attempt. */
 export interface AttemptName {
   readonly requestId: string;
   readonly attemptId: string;
@@ -57,7 +57,7 @@
 
 export interface AgentClientOptions {
   /**
-   * Longest wait for the answer to a seal or a cancel, in milliseconds.
+   * Timeout of the `describe`, `seal` and `cancel` calls, in milliseconds.
    * @default 1000
    */
   readonly callTimeoutMs?: number;
@@ -75,7 +75,7 @@
   "ENETUNREACH",
 ];
 
-/** Creates a client that connects to agents when they are first used. */
+/** Creates a client that connects to each agent on first use. */
 export function createAgentClient(options: AgentClientOptions): AgentClient {
   const timeoutMs = options.callTimeoutMs ?? defaultCallTimeoutMs;
   const clients = new Map<string, Client>();
@@ -88,8 +88,8 @@
   }, { once: true });
 
   function getClient(address: string): Client {
-    const known = clients.get(address);
-    if (known !== undefined) return known;
+    const existing = clients.get(address);
+    if (existing !== undefined) return existing;
     const baseUrl = `http://${address}`;
     const sessionManager = new connectNode.Http2SessionManager(baseUrl, {
       idleConnectionTimeoutMs,
@@ -110,8 +110,8 @@
     stream: StreamOptions,
   ): Promise<void> {
     try {
-      for await (const wire of open(getClient(stream.address))) {
-        const frame = frameCodec.decodeFrame(wire);
+      for await (const encoded of open(getClient(stream.address))) {
+        const frame = frameCodec.decodeFrame(encoded);
         if (frame !== undefined) stream.onFrame(frame);
       }
       stream.onEnd({ kind: "closed" });
@@ -155,8 +155,8 @@
       }
     },
     cancel(name, address) {
-      // A cancel that is lost costs only the work until the agent notices that
-      // nobody follows the attempt.
+      // A lost cancel wastes only the work done until the agent detects that no
+      // entry follows the attempt.
       getClient(address).cancel(name, { timeoutMs }).catch(() => {});
     },
   };
--- a/packages/anvilhinge/src/entry/session/answer_buffer.ts
+++ b/packages/anvilhinge/src/entry/session/answer_buffer.ts
@@ -1,4 +1,4 @@
-/** What a session holds of the answer: undelivered parts and what is recorded. */
+/** Buffers undelivered parts of an answer and records answers for claims. */
 import type * as claims from "@anvilhinge/coordination/claims";
 import type * as engine from "../../ports/engine.ts";
 import type * as types from "./session_types.ts";
@@ -9,21 +9,25 @@
 >;
 
 export interface AnswerBufferOptions {
-  /** True when parts are delivered as they arrive. */
+  /** True when data is delivered as it arrives. */
   readonly isStreamed: boolean;
-  /** Most bytes that are held back. */
+  /** Maximum number of buffered bytes before the buffer is delivered. */
   readonly limitBytes: number;
 }
 
-/** Holds back the head, and the data of whole answers, until it is due. */
+/** Buffers the head, and the data of whole answers, until delivery. */
 export interface AnswerBuffer {
-  /** Forgets what was not delivered and begins a new answer. */
+  /** Discards undelivered parts, for the answer of another attempt. */
   restart(): void;
-  /** Takes a part; returns what must be delivered now, nothing if held. */
+  /**
+   * Adds a part and returns the parts to deliver now. `isHeld` buffers the part
+   * even if the answer is streamed.
+   */
   add(
     part: Part,
     options?: { readonly isHeld: boolean },
   ): readonly Part[];
+  /** Removes and returns all buffered parts. */
   takeAll(): readonly Part[];
   /** Whether any part was delivered. */
   hasDelivered(): boolean;
@@ -31,32 +35,32 @@
 
 /** Creates an empty buffer. */
 export function createAnswerBuffer(options: AnswerBufferOptions): AnswerBuffer {
-  let held: Part[] = [];
-  let heldBytes = 0;
+  let parts: Part[] = [];
+  let bufferedBytes = 0;
   let hasDelivered = false;
 
   function takeAll(): readonly Part[] {
-    const taken = held;
-    held = [];
-    heldBytes = 0;
-    hasDelivered ||= taken.length > 0;
-    return taken;
+    const removed = parts;
+    parts = [];
+    bufferedBytes = 0;
+    hasDelivered ||= removed.length > 0;
+    return removed;
   }
 
   return {
     restart() {
-      held = [];
-      heldBytes = 0;
+      parts = [];
+      bufferedBytes = 0;
     },
     add(part, { isHeld } = { isHeld: false }) {
-      held.push(part);
-      // The head waits for the first data, so that work that fails before it
-      // can still be retried elsewhere.
+      parts.push(part);
+      // The head is buffered until the first data arrives, so that an attempt
+      // that fails before then can be retried at another upstream.
       if (part.kind === "head") return [];
-      heldBytes += part.data.byteLength;
+      bufferedBytes += part.data.byteLength;
       const isStreamed = options.isStreamed && !isHeld;
       const isDue = isStreamed || hasDelivered ||
-        heldBytes > options.limitBytes;
+        bufferedBytes > options.limitBytes;
       return isDue ? takeAll() : [];
     },
     takeAll,
@@ -64,7 +68,7 @@
   };
 }
 
-/** Collects the answer of a claimed call for its record. */
+/** Collects the answer to a claimed call, to be stored with the claim. */
 export interface AnswerRecorder {
   restart(): void;
   setHead(head: engine.AnswerHead): void;
@@ -74,29 +78,33 @@
 
 const recordedBodyLimitBytes = 1024;
 
-/** Creates a recorder; a body over the bound is left out of the record. */
+/** Creates a recorder; a body over the size limit is omitted. */
 export function createAnswerRecorder(): AnswerRecorder {
   let head: engine.AnswerHead = { status: 0, headers: [] };
-  let body: Uint8Array[] = [];
-  let bytes = 0;
+  let chunks: Uint8Array[] = [];
+  let bodyBytes = 0;
 
   return {
     restart() {
       head = { status: 0, headers: [] };
-      body = [];
-      bytes = 0;
+      chunks = [];
+      bodyBytes = 0;
     },
     setHead(received) {
       head = received;
     },
     addData(data) {
-      bytes += data.byteLength;
-      if (bytes <= recordedBodyLimitBytes) body.push(data);
+      bodyBytes += data.byteLength;
+      if (bodyBytes <= recordedBodyLimitBytes) chunks.push(data);
     },
     build() {
       const { status, headers } = head;
-      if (bytes > recordedBodyLimitBytes) return { status, headers };
-      return { status, headers, body: Buffer.concat(body).toString("base64") };
+      if (bodyBytes > recordedBodyLimitBytes) return { status, headers };
+      return {
+        status,
+        headers,
+        body: Buffer.concat(chunks).toString("base64"),
+      };
     },
   };
 }
--- a/packages/anvilhinge/src/entry/session/attempt_state.ts
+++ b/packages/anvilhinge/src/entry/session/attempt_state.ts
@@ -1,18 +1,18 @@
-/** The present attempt of a session. */
+/** State of the current attempt of a session. */
 import type * as claims from "@anvilhinge/coordination/claims";
 import * as frames from "../../ports/frames.ts";
 import type * as types from "./session_types.ts";
 
 export type Phase =
-  /** Waits for the agent's description; nothing was sent. */
+  /** Waiting for the agent's description; nothing was dispatched. */
   | "preparing"
-  /** Waits for the claim; nothing was sent. */
+  /** Waiting for the claim to be stored; nothing was dispatched. */
   | "claiming"
   | "sent"
-  /** Waits for what the agent says to a seal. */
+  /** Waiting for the agent's answer to a seal. */
   | "sealing";
 
-/** An attempt that is on its way. */
+/** State of one attempt, from its creation to its end. */
 export interface AttemptState {
   readonly attemptId: string;
   readonly upstream: types.Upstream;
@@ -21,18 +21,18 @@
   startByMs: number;
   nextSequence: number;
   resumes: number;
-  /** True when the agent is known to have started it. */
+  /** True when the attempt is known to have started. */
   isStarted: boolean;
-  /** Status of its answer; 0 before. */
+  /** HTTP status of the answer; 0 until it arrives. */
   status: number;
-  /** True when its end was reported, or another entry reports it. */
+  /** True when the end was reported, or when another entry reports it. */
   isObserved: boolean;
 }
 
-/** Time that an attempt has to reach its agent, in milliseconds. */
+/** Time within which an attempt must reach its agent, in milliseconds. */
 export const startAllowanceMs = frames.startWindowMs / 2;
 
-/** Creates the state of an attempt that is yet to be sent. */
+/** Creates the state of an attempt that is not yet dispatched. */
 export function createAttemptState(
   attemptId: string,
   upstream: types.Upstream,
@@ -51,7 +51,7 @@
   };
 }
 
-/** Creates the state of an attempt that an entry recorded in a claim. */
+/** Creates the state of an attempt that another entry recorded in a claim. */
 export function createClaimedState(claim: claims.Claim): AttemptState {
   return {
     ...createAttemptState(claim.attemptId, claim.upstream),
@@ -62,7 +62,7 @@
   };
 }
 
-/** Builds the claim that allows the attempt to be sent. */
+/** Builds the claim that must be stored before the attempt is dispatched. */
 export function buildClaim(
   request: types.Request,
   state: AttemptState,
@@ -79,7 +79,7 @@
   };
 }
 
-/** Builds the call that starts the attempt at its agent. */
+/** Builds the message that starts the attempt. */
 export function buildAttempt(
   request: types.Request,
   state: AttemptState,
@@ -107,7 +107,7 @@
   };
 }
 
-/** Builds the order that keeps the attempt from starting. */
+/** Builds the message that prevents the attempt from starting. */
 export function buildSeal(
   request: types.Request,
   state: AttemptState,
@@ -116,7 +116,7 @@
   return { requestId: request.requestId, attemptId, incarnation, startByMs };
 }
 
-/** Whether a frame of this kind may stand at this place of an answer. */
+/** Whether the kind of a frame is valid at its sequence number. */
 export function isValidPosition(frame: frames.Frame): boolean {
   switch (frame.body.kind) {
     case "accepted":
--- a/packages/anvilhinge/src/entry/session/call_identity.ts
+++ b/packages/anvilhinge/src/entry/session/call_identity.ts
@@ -1,4 +1,4 @@
-/** What makes two calls the same call: its request id and its digest. */
+/** Identifies repeated submissions of a call by request id and digest. */
 import * as nodeCrypto from "node:crypto";
 
 export interface Call {
@@ -9,8 +9,8 @@
 }
 
 /**
- * Computes the request id of a call with an idempotency key, so that every
- * entry gives the same id to the same call.
+ * Computes the request id of a call from its idempotency key, so that all
+ * entries assign the same id to a repeated call.
  */
 export function computeRequestId(workspace: string, key: string): string {
   const digest = nodeCrypto.createHash("sha256")
@@ -19,7 +19,7 @@
   return `key-${digest.slice(0, 40)}`;
 }
 
-/** Computes the digest of what a call asks for. */
+/** Computes the digest of the service, method, path and body of a call. */
 export function computeDigest(call: Call): string {
   return nodeCrypto.createHash("sha256")
     .update(JSON.stringify([call.service, call.method, call.path]))
--- a/packages/anvilhinge/src/entry/session/claim_store.ts
+++ b/packages/anvilhinge/src/entry/session/claim_store.ts
@@ -1,4 +1,4 @@
-/** Carries out the effects of claim committers on the object API. */
+/** Stores claims in the object store through one committer per shard. */
 import * as claimCommitter from "@anvilhinge/coordination/claim_committer";
 import * as claimShard from "@anvilhinge/coordination/claim_shard";
 import * as claims from "@anvilhinge/coordination/claims";
@@ -15,34 +15,34 @@
   readonly half: string;
   /** @default claims.defaultShardCount */
   readonly shardCount?: number;
-  /** Ends all timers. */
+  /** Cancels all timers. */
   readonly signal?: AbortSignal;
 }
 
-/** The claims of one half, as one entry reads and writes them. */
+/** Access of one entry to the claims of one half. */
 export interface ClaimStore {
-  /** Never rejects; a fault of the store is the result `unavailable`. */
+  /** Never rejects; a failure of the object store resolves to `unavailable`. */
   submit(operation: claims.ClaimOperation): Promise<claims.ClaimResult>;
-  /** Operations that are not answered. */
+  /** Number of operations that have not completed. */
   countPending(): number;
 }
 
-type Answer = (result: claims.ClaimResult) => void;
-type ReadAnswer = Extract<
+type ResultCallback = (result: claims.ClaimResult) => void;
+type ReadResult = Extract<
   claimCommitter.CommitterEvent,
   { readonly kind: "read_answered" }
 >["outcome"];
 
-/** Creates a store with one committer for each shard in use. */
+/** Creates a claim store; a shard gets its committer on first use. */
 export function createClaimStore(options: ClaimStoreOptions): ClaimStore {
   const shards = new Map<
     string,
     (event: claimCommitter.CommitterEvent) => void
   >();
-  const answers = new Map<number, Answer>();
+  const pendingResults = new Map<number, ResultCallback>();
   let nextOperationId = 0;
 
-  function startShard(
+  function createShardFeed(
     key: string,
   ): (event: claimCommitter.CommitterEvent) => void {
     const committer = claimCommitter.createCommitter({
@@ -83,8 +83,8 @@
           });
           return;
         case "answer":
-          answers.get(effect.operationId)?.(effect.result);
-          answers.delete(effect.operationId);
+          pendingResults.get(effect.operationId)?.(effect.result);
+          pendingResults.delete(effect.operationId);
           return;
       }
     }
@@ -102,19 +102,19 @@
         name,
         options.shardCount,
       );
-      const feed = shards.get(key) ?? startShard(key);
+      const feed = shards.get(key) ?? createShardFeed(key);
       shards.set(key, feed);
       const operationId = nextOperationId++;
       return new Promise((resolve) => {
-        answers.set(operationId, resolve);
+        pendingResults.set(operationId, resolve);
         feed({ kind: "submitted", operationId, operation });
       });
     },
-    countPending: () => answers.size,
+    countPending: () => pendingResults.size,
   };
 }
 
-function convertRead(outcome: objectStore.ReadOutcome): ReadAnswer {
+function convertRead(outcome: objectStore.ReadOutcome): ReadResult {
   switch (outcome.kind) {
     case "unavailable":
       return outcome;
@@ -129,7 +129,10 @@
       if (shard !== undefined) {
         return { kind: "read", stored: { shard, version } };
       }
-      return { kind: "unavailable", message: `${key} holds no claims` };
+      return {
+        kind: "unavailable",
+        message: `Object ${key} is not a valid claim shard`,
+      };
     }
   }
 }
--- a/packages/anvilhinge/src/entry/session/description_cache.ts
+++ b/packages/anvilhinge/src/entry/session/description_cache.ts
@@ -1,7 +1,7 @@
 /**
- * What an entry knows of the agents' incarnations and clocks. Attempts that may
- * be repeated go by a description that was learnt before; one that is out of
- * date costs a refusal, never a second run.
+ * Caches the incarnations and clocks of agents. Repeatable attempts use a
+ * cached description; an outdated description costs a refusal, never a second
+ * run.
  */
 import type * as clock from "@anvilhinge/coordination/clock";
 import type * as frames from "../../ports/frames.ts";
@@ -12,53 +12,53 @@
   readonly clock: clock.Clock;
   readonly client: Pick<agentClient.AgentClient, "describe">;
   /**
-   * How long a description is used, in milliseconds.
+   * Time for which a cached description is used, in milliseconds.
    * @default 60000
    */
   readonly retentionMs?: number;
 }
 
 export interface DescriptionCache {
-  /** Describes the agent as of now from what is known of it. */
+  /** Returns the cached description, with the agent's clock advanced to now. */
   find(address: string): frames.AgentDescription | undefined;
-  /** Asks the agent. */
+  /** Requests the description from the agent and caches it. */
   fetch(address: string): Promise<sessionTypes.PrepareOutcome>;
-  /** Forgets an agent whose refusal shows that it has changed. */
+  /** Removes the description of an agent whose refusal shows it is outdated. */
   invalidate(address: string): void;
 }
 
-interface Known {
+interface CachedDescription {
   readonly description: frames.AgentDescription;
-  readonly atMs: number;
+  readonly receivedAtMs: number;
 }
 
 const defaultRetentionMs = 60_000;
-const maxKnown = 4_096;
+const maxCached = 4_096;
 
-/** Creates an empty table of descriptions. */
+/** Creates an empty cache. */
 export function createDescriptionCache(
   options: DescriptionCacheOptions,
 ): DescriptionCache {
   const retentionMs = options.retentionMs ?? defaultRetentionMs;
-  const known = new Map<string, Known>();
+  const cache = new Map<string, CachedDescription>();
 
   function record(
     address: string,
     description: frames.AgentDescription,
   ): void {
-    known.delete(address);
-    known.set(address, { description, atMs: options.clock.now() });
-    const [oldest] = known.keys();
-    if (known.size > maxKnown && oldest !== undefined) known.delete(oldest);
+    cache.delete(address);
+    cache.set(address, { description, receivedAtMs: options.clock.now() });
+    const [oldest] = cache.keys();
+    if (cache.size > maxCached && oldest !== undefined) cache.delete(oldest);
   }
 
   return {
     find(address) {
-      const found = known.get(address);
-      if (found === undefined) return undefined;
-      const ageMs = options.clock.now() - found.atMs;
+      const cached = cache.get(address);
+      if (cached === undefined) return undefined;
+      const ageMs = options.clock.now() - cached.receivedAtMs;
       if (ageMs >= retentionMs) return undefined;
-      const { incarnation, nowMs } = found.description;
+      const { incarnation, nowMs } = cached.description;
       return { incarnation, nowMs: nowMs + ageMs };
     },
     async fetch(address) {
@@ -67,6 +67,6 @@
       record(address, description);
       return { kind: "described", ...description };
     },
-    invalidate: (address) => void known.delete(address),
+    invalidate: (address) => void cache.delete(address),
   };
 }
--- a/packages/anvilhinge/src/entry/session/event_assembler.ts
+++ b/packages/anvilhinge/src/entry/session/event_assembler.ts
@@ -1,37 +1,37 @@
 /**
- * Cuts the answer of one request into whole server-sent events and follows
- * their ids, over all attempts of the request: a later attempt goes on behind
- * the last event that was delivered.
+ * Assembles the answer to one request into complete server-sent events and
+ * tracks their ids over all attempts of the request: a later attempt continues
+ * after the last delivered event.
  */
 import * as eventSplitter from "../../events/event_splitter.ts";
 
 export type PushOutcome =
-  /** Whole events that continue the answer; undefined while none is complete. */
+  /** Complete events that continue the answer; undefined if there are none. */
   | { readonly kind: "events"; readonly data: Uint8Array | undefined }
-  /** An event does not continue the answer. */
+  /** An event is missing or repeated, so the data must not be delivered. */
   | { readonly kind: "misplaced"; readonly message: string };
 
 export interface EventAssembler {
-  /** Forgets what an attempt that broke left of an event. */
+  /** Discards the incomplete event of an interrupted attempt. */
   restart(): void;
-  /** Takes bytes of the present attempt. */
+  /** Adds bytes from the current attempt. */
   push(data: Uint8Array): PushOutcome;
-  /** Whether the present attempt ended inside an event. */
+  /** Whether bytes of an incomplete event remain. */
   hasIncompleteEvent(): boolean;
-  /** Id of the last event that was delivered, or that the caller has. */
+  /** Id of the last event that was delivered now or in an earlier answer. */
   getLastId(): string | undefined;
 }
 
 const idLinePattern = /^id: ?(.*)$/gm;
 
-/** Reads the ids of whole events, in order. */
+/** Lists the ids of complete events, in order. */
 function listIds(data: Uint8Array): readonly string[] {
   const text = Buffer.from(data).toString("latin1");
   return [...text.matchAll(idLinePattern)]
     .map((match) => (match[1] as string).replace(/\r$/, ""));
 }
 
-/** Whether the id is the next one; ids that aren't numbers can't be checked. */
+/** Whether the id follows `lastId`; only integer ids can be checked. */
 function isNext(id: string, lastId: string | undefined): boolean {
   const number = Number(id);
   if (lastId === undefined || !Number.isSafeInteger(number)) return true;
@@ -39,21 +39,21 @@
   return !Number.isSafeInteger(last) || number === last + 1;
 }
 
-/** Creates a cutter for an answer that begins behind `resumeAfter`. */
+/** Creates an assembler for an answer that starts after event `resumeAfter`. */
 export function createEventAssembler(resumeAfter?: string): EventAssembler {
   let splitter = eventSplitter.createEventSplitter();
   let lastId = resumeAfter;
 
-  function follow(data: Uint8Array): PushOutcome {
-    let followedId = lastId;
+  function verify(data: Uint8Array): PushOutcome {
+    let previousId = lastId;
     for (const id of listIds(data)) {
-      if (!isNext(id, followedId)) {
-        const message = `Event ${id} came after event ${followedId}`;
+      if (!isNext(id, previousId)) {
+        const message = `Event ${id} came after event ${previousId}`;
         return { kind: "misplaced", message };
       }
-      followedId = id;
+      previousId = id;
     }
-    lastId = followedId;
+    lastId = previousId;
     return { kind: "events", data };
   }
 
@@ -65,7 +65,7 @@
       const events = splitter.push(data);
       return events === undefined
         ? { kind: "events", data: undefined }
-        : follow(events);
+        : verify(events);
     },
     hasIncompleteEvent: () => splitter.flush() !== undefined,
     getLastId: () => lastId,
--- a/packages/anvilhinge/src/entry/session/event_id.ts
+++ b/packages/anvilhinge/src/entry/session/event_id.ts
@@ -1,9 +1,10 @@
 /**
- * Ids of server-sent events. An id names a point within an attempt's answer,
- * so that any entry of the half can resume it; callers treat it as opaque.
+ * Ids of server-sent events. An id encodes a position in the answer of an
+ * attempt, so that any entry of the half can resume it. Callers treat ids as
+ * opaque.
  */
 
-/** A point within the answer of one attempt. */
+/** Position of an event in the answer of one attempt. */
 export interface EventPoint {
   readonly requestId: string;
   readonly attemptId: string;
@@ -11,14 +12,14 @@
   readonly rank: number;
   /** Sequence number of the frame that carried the event. */
   readonly sequence: number;
-  /** Position of the event within that frame. */
+  /** Index of the event within that frame. */
   readonly index: number;
 }
 
 const separator = "~";
 const fieldCount = 6;
 
-/** Encodes a point as the value of an `id:` line. */
+/** Encodes a position as the value of an `id:` line. */
 export function formatEventId(point: EventPoint): string {
   return [
     point.requestId,
@@ -30,7 +31,7 @@
   ].join(separator);
 }
 
-/** Decodes the value of a `Last-Event-ID` header; undefined when malformed. */
+/** Decodes a `Last-Event-ID` header value; undefined if it is malformed. */
 export function parseEventId(text: string): EventPoint | undefined {
   const fields = text.split(separator);
   if (fields.length !== fieldCount) return undefined;
@@ -41,16 +42,16 @@
     number,
   ];
   const numbers = [rank, sequence, index];
-  const isWhole = numbers.every((value) =>
+  const hasValidNumbers = numbers.every((value) =>
     Number.isSafeInteger(value) && value >= 0
   );
-  const isNamed = requestId !== "" && attemptId !== "" && group !== "";
-  if (!isWhole || !isNamed) return undefined;
+  const hasAllIds = requestId !== "" && attemptId !== "" && group !== "";
+  if (!hasValidNumbers || !hasAllIds) return undefined;
   return { requestId, attemptId, group, rank, sequence, index };
 }
 
 /**
- * Adds an `id:` line to each event of a frame's data, and leaves out the first
+ * Adds an `id:` line to each event in the data of a frame, and omits the first
  * `skip` events.
  */
 export function insertEventIds(
--- a/packages/anvilhinge/src/entry/session/outcome_lookup.ts
+++ b/packages/anvilhinge/src/entry/session/outcome_lookup.ts
@@ -1,6 +1,6 @@
 /**
- * Finds out what became of a call that must not run twice: from its claim, and
- * where that is open, from the agent that the claim names.
+ * Looks up the outcome of a call that must not run twice: in its claim or, if
+ * the claim records no outcome, at the agent named in the claim.
  */
 import type * as claims from "@anvilhinge/coordination/claims";
 import type * as frames from "../../ports/frames.ts";
@@ -17,30 +17,31 @@
   readonly readWallMs: () => number;
 }
 
-/** What became of a call. */
+/** Outcome of a call. */
 export type CallOutcome =
-  /** No call of this name is on record, or its record is past retention. */
+  /** No claim of the call exists, or its retention has expired. */
   | { readonly kind: "missing" }
   | { readonly kind: "running" }
   | { readonly kind: "finished"; readonly answer: claims.RecordedAnswer }
   | { readonly kind: "not_run" }
   | { readonly kind: "unknown"; readonly message: string }
-  /** The record could not be read; ask again. */
+  /** The claim could not be read; the lookup can be retried. */
   | { readonly kind: "unavailable"; readonly message: string };
 
-/** Asks for the outcome of one call. */
+/** Looks up the outcome of one call. */
 export type FindOutcome = (name: claims.ClaimName) => Promise<CallOutcome>;
 
-/** Age below which an entry is taken to be at work on a claim. */
-const freshClaimMs = 2_000;
-const followTimeoutMs = 2_000;
+/** Age below which an entry is assumed to be processing the claim. */
+const activeClaimMaxAgeMs = 2_000;
+/** Time limit for reading the frames of a finished attempt. */
+const readTimeoutMs = 2_000;
 
-type Followed =
+type ReplayOutcome =
   | { readonly kind: "finished"; readonly answer: claims.RecordedAnswer }
   | { readonly kind: "refused" }
   | { readonly kind: "unknown"; readonly message: string };
 
-/** Creates the function that asks. */
+/** Creates the lookup function. */
 export function createOutcomeLookup(
   options: OutcomeLookupOptions,
 ): FindOutcome {
@@ -53,16 +54,16 @@
     void options.claims.submit({ kind: "settle", name, attemptId, state });
   }
 
-  /** Reads the frames of a finished attempt. */
-  function followFinished(claim: claims.Claim): Promise<Followed> {
+  /** Reads the frames of a finished attempt from its agent. */
+  function replayAttempt(claim: claims.Claim): Promise<ReplayOutcome> {
     const recorder = answerBuffer.createAnswerRecorder();
     const abort = new AbortController();
     return new Promise((resolve) => {
       let nextSequence = 0;
 
-      function finish(followed: Followed): void {
+      function finish(replayed: ReplayOutcome): void {
         abort.abort();
-        resolve(followed);
+        resolve(replayed);
       }
 
       function receive({ body, sequence, attemptId }: frames.Frame): void {
@@ -92,7 +93,7 @@
       }
 
       options.scheduler.schedule(() => fail("Its upstream did not answer"), {
-        delayMs: followTimeoutMs,
+        delayMs: readTimeoutMs,
         signal: abort.signal,
       });
       options.client.resume({ ...claim, fromSequence: 0 }, {
@@ -114,7 +115,7 @@
       case "running":
         return { kind: "running" };
       case "finished":
-        return readFinished(claim);
+        return resolveFinished(claim);
       case "unknown":
         return {
           kind: "unknown",
@@ -128,30 +129,32 @@
     }
   }
 
-  async function readFinished(claim: claims.Claim): Promise<CallOutcome> {
-    const followed = await followFinished(claim);
-    switch (followed.kind) {
+  async function resolveFinished(claim: claims.Claim): Promise<CallOutcome> {
+    const replayed = await replayAttempt(claim);
+    switch (replayed.kind) {
       case "finished":
-        settle(claim, followed);
-        return followed;
+        settle(claim, replayed);
+        return replayed;
       case "refused":
         settle(claim, { kind: "not_run" });
         return { kind: "not_run" };
       case "unknown":
-        return followed;
+        return replayed;
     }
   }
 
   return async (name) => {
-    const found = await options.claims.submit({ kind: "find", name });
-    if (found.kind === "missing") return found;
-    if (found.kind !== "exists") {
+    const result = await options.claims.submit({ kind: "find", name });
+    if (result.kind === "missing") return result;
+    if (result.kind !== "exists") {
       const message = "The record of the call can't be read now";
       return { kind: "unavailable", message };
     }
-    const { claim } = found;
+    const { claim } = result;
     if (claim.state.kind !== "claimed") return claim.state;
     const ageMs = options.readWallMs() - claim.changedAtMs;
-    return ageMs < freshClaimMs ? { kind: "running" } : fetchOutcome(claim);
+    return ageMs < activeClaimMaxAgeMs
+      ? { kind: "running" }
+      : fetchOutcome(claim);
   };
 }
--- a/packages/anvilhinge/src/entry/session/runner.ts
+++ b/packages/anvilhinge/src/entry/session/runner.ts
@@ -1,4 +1,4 @@
-/** Carries out the effects of a session: calls to agents, timers, the answer. */
+/** Executes the effects of a session: calls to agents, timers, the answer. */
 import type * as engine from "../../ports/engine.ts";
 import type * as frames from "../../ports/frames.ts";
 import type * as scheduler from "../../ports/scheduler.ts";
@@ -8,7 +8,7 @@
 import type * as session from "./session.ts";
 import * as sessionTimers from "./session_timers.ts";
 
-/** Where the answer of one request goes. */
+/** Receives the answer to one request. */
 export interface AnswerSink {
   head(
     head: engine.AnswerHead,
@@ -22,10 +22,10 @@
   answer(final: session.FinalAnswer): void;
 }
 
-/** The way to upstreams: their agents, or the upstreams themselves. */
+/** Client for the agents, or for the upstreams if there are no agents. */
 export type SessionClient = Omit<agentClient.AgentClient, "describe">;
 
-/** What only sessions before agents need. */
+/** Dependencies of sessions whose upstreams have agents. */
 export interface AgentDependencies {
   readonly descriptions: descriptionCache.DescriptionCache;
   readonly claims: claimStore.ClaimStore;
@@ -35,21 +35,24 @@
   readonly request: session.Request;
   readonly session: session.Session;
   readonly client: SessionClient;
-  /** Undefined where no agents stand before the upstreams. */
+  /** Undefined when attempts go to the upstreams without agents. */
   readonly agents?: AgentDependencies;
   readonly scheduler: scheduler.Scheduler;
   readonly sink: AnswerSink;
-  /** Aborts when the caller has gone. */
+  /** Aborts when the caller disconnects. */
   readonly callerSignal: AbortSignal;
-  /** Headers of each call to an agent, for example the trace context. */
+  /** Headers added to each call, for example the trace context. */
   readonly headers?: Readonly<Record<string, string>>;
-  /** Called when an attempt begins; `onObserve` follows when it ends. */
+  /** Called when an attempt starts; `onObserve` follows when it ends. */
   readonly onDispatch: (upstream: session.Upstream) => void;
   readonly onObserve: (
     observation: Extract<session.SessionEffect, { kind: "observe" }>,
   ) => void;
   readonly onDrop?: () => void;
-  /** Takes the function by which decisions on a waiting session come in. */
+  /**
+   * Called with the function that feeds events to the session, for decisions on
+   * a waiting request.
+   */
   readonly onFeedReady?: (feed: (event: session.SessionEvent) => void) => void;
 }
 
@@ -58,18 +61,20 @@
   { readonly kind: Kind }
 >;
 
-/** Runs the session until it is done; resolves then. */
+/** Runs the session; resolves when it is done. */
 export function runSession(options: RunOptions): Promise<void> {
   const { request, client } = options;
-  const peer = options.agents === undefined ? "upstream" : "agent";
-  /** Streams by attempt id; a resumed stream replaces the one before it. */
+  const peerKind = options.agents === undefined ? "upstream" : "agent";
+  /** Streams by attempt id; a resumed stream replaces the earlier stream. */
   const streams = new Map<string, AbortController>();
   const events: session.SessionEvent[] = [];
   let isFeeding = false;
 
   function requireAgents(): AgentDependencies {
     if (options.agents !== undefined) return options.agents;
-    throw new Error("A session without agents asked for one");
+    throw new Error(
+      "The session requires an agent, but no agents are configured",
+    );
   }
 
   return new Promise((resolve) => {
@@ -78,7 +83,10 @@
       onDue: (name) => feed({ kind: "timer", name }),
     });
 
-    /** Handles one event after the other, also when effects cause more. */
+    /**
+     * Queues the event and handles queued events in order. Events that effects
+     * cause in the meantime are handled by the running loop.
+     */
     function feed(event: session.SessionEvent): void {
       events.push(event);
       if (isFeeding) return;
@@ -113,7 +121,7 @@
         signal: abort.signal,
         onFrame(frame) {
           if (abort.signal.aborted) return;
-          if (isOutdated(frame)) {
+          if (isStaleDescription(frame)) {
             options.agents?.descriptions.invalidate(upstream.address);
           }
           feed({ kind: "frame", frame });
@@ -125,8 +133,8 @@
             attemptId,
             sent: end.kind === "closed" || end.sent,
             message: end.kind === "closed"
-              ? `The ${peer} closed the stream early`
-              : `Contact with the ${peer} broke: ${end.message}`,
+              ? `The ${peerKind} closed the stream early`
+              : `Contact with the ${peerKind} broke: ${end.message}`,
           });
         },
       };
@@ -135,15 +143,15 @@
     async function prepare(
       { attemptId, upstream }: Effect<"prepare">,
     ): Promise<void> {
-      const { descriptions: clocks } = requireAgents();
-      // What must not run twice asks the agent itself, so that a claim names
-      // the incarnation of this moment.
-      const known = request.isRepeatable
-        ? clocks.find(upstream.address)
+      const { descriptions } = requireAgents();
+      // A request that must not run twice needs a fresh description, so that
+      // its claim names the agent's current incarnation.
+      const cached = request.isRepeatable
+        ? descriptions.find(upstream.address)
         : undefined;
-      const outcome = known === undefined
-        ? await clocks.fetch(upstream.address)
-        : { kind: "described" as const, ...known };
+      const outcome = cached === undefined
+        ? await descriptions.fetch(upstream.address)
+        : { kind: "described" as const, ...cached };
       feed({ kind: "prepared", attemptId, outcome });
     }
 
@@ -195,7 +203,7 @@
         case "settle":
           return settle(effect);
         case "dispatch":
-          // Before an agent the attempt began with its preparation.
+          // With an agent, `prepare` has already reported the attempt.
           if (options.agents === undefined) options.onDispatch(effect.upstream);
           return client.run(
             effect.attempt,
@@ -239,8 +247,8 @@
   });
 }
 
-/** Whether a refusal shows that what is known of the agent is out of date. */
-function isOutdated({ body }: frames.Frame): boolean {
+/** Whether a refusal shows that the cached agent description is out of date. */
+function isStaleDescription({ body }: frames.Frame): boolean {
   return body.kind === "refused" &&
     (body.reason === "wrong_incarnation" || body.reason === "expired");
 }
--- a/packages/anvilhinge/src/entry/session/session.ts
+++ b/packages/anvilhinge/src/entry/session/session.ts
@@ -1,9 +1,10 @@
 /**
- * One caller's request at an entry, from arrival to its final answer: chooses
- * upstreams, claims what must not run twice, follows the frames of the present
- * attempt, retries work that did not run, resumes a broken stream on the same
- * generation, and seals attempts whose start is uncertain. Deterministic:
- * events in, effects out.
+ * State machine for one caller's request at an entry, from arrival to the final
+ * answer. It chooses upstreams, claims requests that must not run twice,
+ * processes the frames of the current attempt, retries attempts that did not
+ * run, resumes a broken stream without running the attempt again, and seals
+ * attempts that may not have started. It is deterministic and performs no I/O:
+ * it maps events to effects.
  */
 import * as attemptState from "./attempt_state.ts";
 import * as sessionClaims from "./session_claims.ts";
@@ -15,36 +16,33 @@
 
 type Effects = sessionCore.Effects;
 
-/** Creates the state machine of one request; it acts on its first event. */
+/** Creates the state machine; it produces no effects before its first event. */
 export function createSession(
   request: types.Request,
   options: types.SessionOptions,
 ): types.Session {
   const core = sessionCore.createSessionCore(request, options);
-  const { shared, buffer, maxAttempts, observe, raiseRunStatus: raiseRan } =
+  const { shared, buffer, maxAttempts, observe, raiseRunStatus } = core;
+  const { finish, finishNotRun, finishUnknown, startNextAttempt, sendResume } =
     core;
-  const {
-    finish,
-    finishNotRun,
-    finishUnknown,
-    startNextAttempt: startAttempt,
-    sendResume,
-  } = core;
-  const { startAttemptAt: beginAttempt } = core;
+  const { startAttemptAt } = core;
   const { handlePrepared, handleClaimAnswer, handleFound } = sessionClaims
     .createClaimHandlers(core);
   const { handleFrame, handleLost, handleStall, handleSealAnswer } =
     sessionFrames.createFrameHandlers(core);
 
-  function startFirst(): Effects {
-    const point = options.resumePoint;
-    if (point === undefined) return startAttempt();
+  function startFirstAttempt(): Effects {
+    const resumePoint = options.resumePoint;
+    if (resumePoint === undefined) return startNextAttempt();
     shared.attempts = maxAttempts;
     shared.ran = "yes";
     shared.current = {
-      ...attemptState.createAttemptState(point.attemptId, point.upstream),
+      ...attemptState.createAttemptState(
+        resumePoint.attemptId,
+        resumePoint.upstream,
+      ),
       phase: "sent",
-      nextSequence: point.fromSequence,
+      nextSequence: resumePoint.fromSequence,
       isStarted: true,
       isObserved: true,
     };
@@ -57,14 +55,14 @@
     if (shared.isWaiting) return finishNotRun(message, 0);
     if (state === undefined) return finishUnknown(message);
     if (state.phase === "preparing" || state.phase === "claiming") {
-      return abortUnsent(state, message);
+      return finishUnsent(state, message);
     }
     const observed = observe(state, "lost");
     if (!request.isRepeatable && options.gate !== "none") {
       return [...observed, ...finishUnknown(message)];
     }
     const { upstream, attemptId } = state;
-    raiseRan(state.isStarted ? "yes" : "unknown");
+    raiseRunStatus(state.isStarted ? "yes" : "unknown");
     return [
       ...observed,
       { kind: "cancel", upstream, attemptId },
@@ -72,8 +70,8 @@
     ];
   }
 
-  /** Ends a request whose present attempt was not sent. */
-  function abortUnsent(
+  /** Ends a request whose current attempt was not dispatched. */
+  function finishUnsent(
     state: attemptState.AttemptState,
     message: string,
   ): Effects {
@@ -84,7 +82,7 @@
     ];
   }
 
-  /** Records of a claim on its way that its attempt is not sent. */
+  /** Records that the attempt of a claim that is being written will not run. */
   function settleUnsent(
     { phase, attemptId }: attemptState.AttemptState,
   ): Effects {
@@ -101,14 +99,15 @@
       shared.isDone = true;
       return [...observe(state, "completed"), ...settleUnsent(state)];
     }
-    // What must not run twice is followed to its end for the record.
+    // A request that must not run twice is followed to its end, so that its
+    // outcome is recorded.
     const isRecorded = !request.isRepeatable && options.gate !== "none";
     if (isRecorded) return [];
     shared.isDone = true;
     shared.current = undefined;
     const observed = observe(state, "completed");
-    // A caller that has events may come back for the rest at another entry;
-    // the agent ends what nobody follows for a while.
+    // A caller that has received data may resume the stream at another entry.
+    // The agent ends an attempt that no entry has followed for some time.
     if (request.delivery === "streamed" && buffer.hasDelivered()) {
       return observed;
     }
@@ -122,9 +121,12 @@
   }
 
   function startRequest(): Effects {
-    const leftMs = request.deadlineAtMs - options.clock.now();
-    const delayMs = Math.max(0, leftMs);
-    return [{ kind: "set_timer", name: "deadline", delayMs }, ...startFirst()];
+    const remainingMs = request.deadlineAtMs - options.clock.now();
+    const delayMs = Math.max(0, remainingMs);
+    return [
+      { kind: "set_timer", name: "deadline", delayMs },
+      ...startFirstAttempt(),
+    ];
   }
 
   return {
@@ -144,7 +146,7 @@
             ? handlePrepared(shared.current, event.outcome)
             : [];
         case "granted":
-          return shared.isWaiting ? beginAttempt(event.upstream) : [];
+          return shared.isWaiting ? startAttemptAt(event.upstream) : [];
         case "denied":
           return shared.isWaiting
             ? finishNotRun(event.reason, event.retryAfterMs)
--- a/packages/anvilhinge/src/entry/session/session_claims.ts
+++ b/packages/anvilhinge/src/entry/session/session_claims.ts
@@ -1,4 +1,4 @@
-/** The part of a session that precedes the dispatch: description and claim. */
+/** Session handlers for the steps before a dispatch: description and claim. */
 import type * as claims from "@anvilhinge/coordination/claims";
 import * as attemptState from "./attempt_state.ts";
 import type * as sessionCore from "./session_core.ts";
@@ -15,15 +15,15 @@
     state: attemptState.AttemptState,
     result: claims.ClaimResult,
   ): Effects;
-  /** Goes on once it is known whether the request was sent before. */
+  /** Completes a pending `not_run` answer after the lookup of the claim. */
   handleFound(result: claims.ClaimResult): Effects;
 }
 
-/** Age below which another entry is taken to be at work on a claim. */
-const freshClaimMs = 2_000;
+/** Age below which another entry is assumed to be processing the claim. */
+const activeClaimMaxAgeMs = 2_000;
 const claimRetryMs = 1_000;
 
-/** Creates the steps on the core of a session. */
+/** Creates the handlers that operate on the given session core. */
 export function createClaimHandlers(
   core: sessionCore.SessionCore,
 ): ClaimHandlers {
@@ -54,36 +54,37 @@
     result: claims.ClaimResult,
   ): Effects {
     if (result.kind === "claimed") return dispatch(state);
-    const unclaimed = observe(state, "completed");
+    const observed = observe(state, "completed");
     switch (result.kind) {
       case "exists":
-        return [...unclaimed, ...handleEarlier(result.claim)];
+        return [...observed, ...handleExisting(result.claim)];
       case "other_body":
-        return [...unclaimed, ...finish({ kind: "other_body" })];
+        return [...observed, ...finish({ kind: "other_body" })];
       case "full":
         shared.hasNoEarlierRun = true;
         return [
-          ...unclaimed,
+          ...observed,
           ...finishNotRun("Too many calls are on record", claimRetryMs),
         ];
       case "unavailable":
       case "settled":
       case "missing":
-        // The write may yet land; this record fences it.
+        // The write of the claim may still take effect. Recording the attempt
+        // as not run fences it.
         return [
-          ...unclaimed,
+          ...observed,
           {
             kind: "settle",
             attemptId: state.attemptId,
             state: { kind: "not_run" },
             claim: attemptState.buildClaim(request, state),
           },
-          ...failUnrecorded(),
+          ...finishUnrecorded(),
         ];
     }
   }
 
-  function failUnrecorded(): Effects {
+  function finishUnrecorded(): Effects {
     const reason = "The call could not be put on record";
     return shared.hasNoEarlierRun
       ? finishNotRun(reason, claimRetryMs)
@@ -93,8 +94,8 @@
       );
   }
 
-  /** Goes on when another attempt of the same request is on record. */
-  function handleEarlier(claim: claims.Claim): Effects {
+  /** Handles a claim that names another attempt of this request. */
+  function handleExisting(claim: claims.Claim): Effects {
     const { state } = claim;
     switch (state.kind) {
       case "finished":
@@ -104,7 +105,7 @@
         return finishNotRun("Another entry settled this request", claimRetryMs);
       case "claimed": {
         const ageMs = options.readWallMs() - claim.changedAtMs;
-        if (ageMs < freshClaimMs) {
+        if (ageMs < activeClaimMaxAgeMs) {
           return finishUnknown("The request is in progress", claimRetryMs);
         }
         shared.current = attemptState.createClaimedState(claim);
@@ -128,22 +129,22 @@
     ];
   }
 
-  /** Goes on once it is known whether the request was sent before. */
   function handleFound(result: claims.ClaimResult): Effects {
-    const notRun = shared.pendingNotRun;
-    if (notRun === undefined) return [];
+    const pending = shared.pendingNotRun;
+    if (pending === undefined) return [];
     shared.pendingNotRun = undefined;
-    // Another entry that sealed the attempt too would have replaced it.
+    // If another entry had also sealed this attempt, it would have replaced the
+    // claim with one for its own attempt.
     const isOwn = result.kind === "exists" &&
       result.claim.attemptId === shared.notRunAttemptId &&
       result.claim.state.kind === "claimed";
-    if (result.kind === "exists" && !isOwn) return handleEarlier(result.claim);
+    if (result.kind === "exists" && !isOwn) return handleExisting(result.claim);
     if (result.kind !== "missing" && !isOwn) {
-      const message = `${notRun.reason}; an earlier sending may have run`;
-      return finishUnknown(message, notRun.retryAfterMs);
+      const message = `${pending.reason}; an earlier sending may have run`;
+      return finishUnknown(message, pending.retryAfterMs);
     }
     shared.hasNoEarlierRun = true;
-    return finishNotRun(notRun.reason, notRun.retryAfterMs);
+    return finishNotRun(pending.reason, pending.retryAfterMs);
   }
 
   return { handlePrepared, handleClaimAnswer, handleFound };
--- a/packages/anvilhinge/src/entry/session/session_core.ts
+++ b/packages/anvilhinge/src/entry/session/session_core.ts
@@ -1,6 +1,6 @@
 /**
- * What the parts of a session share: its state, the choice of the next attempt,
- * and the ways in which it ends.
+ * State and operations that the claim and frame handlers of a session share:
+ * starting, retrying and finishing attempts.
  */
 import type * as engine from "../../ports/engine.ts";
 import * as answerBuffer from "./answer_buffer.ts";
@@ -10,7 +10,7 @@
 
 export type Effects = types.SessionEffect[];
 
-type NotRun = Pick<
+type NotRunDetails = Pick<
   Extract<types.FinalAnswer, { readonly kind: "not_run" }>,
   "reason" | "retryAfterMs"
 >;
@@ -19,19 +19,26 @@
   { readonly kind: "observe" }
 >["outcome"];
 
-/** State that the parts of one session change. */
+/** Mutable state of one session, shared by its handlers. */
 export interface SharedState {
+  /** Number of attempts started so far. */
   attempts: number;
   current: attemptState.AttemptState | undefined;
-  /** Claimed attempt of which a proof says that it never runs. */
+  /** Latest attempt proven never to run; a new claim replaces its claim. */
   notRunAttemptId: string | undefined;
-  /** True when no other sending of this request ran so far. */
+  /**
+   * True when no earlier submission of this request by the caller can have run.
+   * Always true for repeatable requests, which are not claimed.
+   */
   hasNoEarlierRun: boolean;
-  /** What is said when the claims know of no earlier sending. */
-  pendingNotRun: NotRun | undefined;
-  /** Whether any earlier attempt of this request ran. */
+  /**
+   * Reason for a `not_run` answer that is withheld until a lookup confirms that
+   * no claim of an earlier submission exists.
+   */
+  pendingNotRun: NotRunDetails | undefined;
+  /** Whether any attempt of this request ran, as far as is known. */
   ran: types.RunStatus;
-  /** True while no place at an upstream is granted. */
+  /** True while the session waits for a slot at an upstream. */
   isWaiting: boolean;
   isDone: boolean;
 }
@@ -41,40 +48,50 @@
   readonly options: types.SessionOptions;
   readonly shared: SharedState;
   readonly buffer: answerBuffer.AnswerBuffer;
-  /** Cuts the answer into events; undefined for other deliveries. */
+  /**
+   * Assembles the answer into events; undefined unless delivery is `events`.
+   */
   readonly eventAssembler: eventAssembler.EventAssembler | undefined;
   readonly recorder: answerBuffer.AnswerRecorder;
   readonly maxAttempts: number;
-  /** Raises what is known of the effects of earlier attempts. */
-  raiseRunStatus(found: types.RunStatus): void;
+  /**
+   * Merges the run status of one attempt into that of the request: `yes`
+   * overrides `unknown`, which overrides `no`.
+   */
+  raiseRunStatus(runStatus: types.RunStatus): void;
   finish(final: types.FinalAnswer): Effects;
-  /** Finishes a request of which the last attempt did not run. */
+  /** Finishes a request whose last attempt did not run. */
   finishNotRun(reason: string, retryAfterMs: number): Effects;
   finishUnknown(message: string, retryAfterMs?: number): Effects;
-  /** Reports the end of an attempt once. */
+  /** Reports the end of an attempt; repeated calls have no effect. */
   observe(
     state: attemptState.AttemptState,
     outcome: Observation,
     report?: { readonly load?: engine.EngineLoad },
   ): Effects;
   resetStallTimer(): types.SessionEffect;
+  /** Chooses an upstream and starts an attempt there. */
   startNextAttempt(): Effects;
-  /** Begins an attempt at a chosen upstream. */
+  /** Starts an attempt at the given upstream. */
   startAttemptAt(upstream: types.Upstream): Effects;
-  /** Sends an attempt that needs nothing more. */
+  /** Dispatches a prepared attempt. */
   dispatch(state: attemptState.AttemptState): Effects;
-  /** Goes on after an attempt that surely did not run. */
+  /** Retries or finishes after an attempt that certainly did not run. */
   retryNotRun(reason: string, retryAfterMs: number): Effects;
-  /** Goes on after an attempt of which nothing left this node. */
+  /** Retries or finishes after an attempt of which nothing left this node. */
   retryUnsent(reason: string): Effects;
-  /** Goes on after an attempt that ran, or may have run, without completing. */
+  /**
+   * Retries or finishes after an attempt that ran, or may have run, without
+   * completing.
+   */
   retryUncertain(
     state: attemptState.AttemptState,
     message: string,
   ): Effects;
   /**
-   * Starts another attempt in the place of one that is silent; undefined, and
-   * nothing changed, if there is none to start.
+   * Replaces a stalled attempt with an attempt at another upstream. Returns
+   * undefined and changes nothing but the retry budget if no other attempt can
+   * be started.
    */
   retryStalled(state: attemptState.AttemptState): Effects | undefined;
   sendResume(state: attemptState.AttemptState): Effects;
@@ -82,12 +99,14 @@
 }
 
 const defaultMaxAttempts = 4;
-/** Upstreams that one request tries to reach at most. */
-const maxUnsent = 4;
+/**
+ * Number of attempted upstreams after which an unsent attempt is not retried.
+ */
+const maxAttemptedUpstreams = 4;
 const defaultStallMs = 5_000;
 const defaultWholeAnswerLimitBytes = 8 * 1024 * 1024;
 
-/** Creates the core of a session that has not begun. */
+/** Creates the core of a session that has not started. */
 export function createSessionCore(
   request: types.Request,
   options: types.SessionOptions,
@@ -100,10 +119,10 @@
     limitBytes: options.wholeAnswerLimitBytes ?? defaultWholeAnswerLimitBytes,
   });
   const recorder = answerBuffer.createAnswerRecorder();
-  const cutter = request.delivery === "events"
+  const assembler = request.delivery === "events"
     ? eventAssembler.createEventAssembler(request.resumeAfter)
     : undefined;
-  const tried = new Set<string>();
+  const attemptedIds = new Set<string>();
   const shared: SharedState = {
     attempts: 0,
     current: undefined,
@@ -115,8 +134,8 @@
     isDone: false,
   };
 
-  function raiseRan(found: types.RunStatus): void {
-    if (found === "yes" || shared.ran === "no") shared.ran = found;
+  function raiseRunStatus(runStatus: types.RunStatus): void {
+    if (runStatus === "yes" || shared.ran === "no") shared.ran = runStatus;
   }
 
   function finish(final: types.FinalAnswer): Effects {
@@ -125,7 +144,6 @@
     return [{ kind: "answer", answer: final }];
   }
 
-  /** Finishes a request of which the last attempt did not run. */
   function finishNotRun(reason: string, retryAfterMs: number): Effects {
     if (shared.ran !== "no") {
       return finish({ kind: "failed", message: reason, ran: shared.ran });
@@ -137,12 +155,15 @@
     }
     const isClaimed = shared.notRunAttemptId !== undefined &&
       options.gate !== "none";
-    const settled: Effects = !isClaimed ? [] : [{
+    const settleEffects: Effects = !isClaimed ? [] : [{
       kind: "settle",
       attemptId: shared.notRunAttemptId ?? "",
       state: { kind: "not_run" },
     }];
-    return [...settled, ...finish({ kind: "not_run", reason, retryAfterMs })];
+    return [
+      ...settleEffects,
+      ...finish({ kind: "not_run", reason, retryAfterMs }),
+    ];
   }
 
   function finishUnknown(message: string, retryAfterMs = 0): Effects {
@@ -159,19 +180,19 @@
     return [{ kind: "observe", upstream: state.upstream, outcome, load }];
   }
 
-  function watchStall(): types.SessionEffect {
+  function resetStallTimer(): types.SessionEffect {
     return { kind: "set_timer", name: "stall", delayMs: stallMs };
   }
 
-  function startAttempt(): Effects {
+  function startNextAttempt(): Effects {
     if (request.deadlineAtMs <= options.clock.now()) {
       const reason = "The deadline passed before an upstream was found";
       return finishNotRun(reason, 0);
     }
-    return followChoice(options.chooseUpstream(tried));
+    return applyChoice(options.chooseUpstream(attemptedIds));
   }
 
-  function followChoice(choice: types.UpstreamChoice): Effects {
+  function applyChoice(choice: types.UpstreamChoice): Effects {
     switch (choice.kind) {
       case "none":
         return finishNotRun(choice.reason, choice.retryAfterMs);
@@ -179,18 +200,18 @@
         shared.isWaiting = true;
         return [];
       case "chosen":
-        return beginAttempt(choice.upstream);
+        return startAttemptAt(choice.upstream);
     }
   }
 
-  function beginAttempt(upstream: types.Upstream): Effects {
+  function startAttemptAt(upstream: types.Upstream): Effects {
     shared.isWaiting = false;
     shared.attempts += 1;
-    tried.add(upstream.id);
+    attemptedIds.add(upstream.id);
     const attemptId = options.createAttemptId();
     buffer.restart();
     recorder.restart();
-    cutter?.restart();
+    assembler?.restart();
     const state = attemptState.createAttemptState(attemptId, upstream);
     shared.current = state;
     return options.gate === "none"
@@ -202,57 +223,61 @@
     state.phase = "sent";
     const attempt = attemptState.buildAttempt(request, state, {
       deadlineMs: request.deadlineAtMs - options.clock.now(),
-      resumeAfter: cutter?.getLastId() ?? request.resumeAfter,
+      resumeAfter: assembler?.getLastId() ?? request.resumeAfter,
     });
     return [
       { kind: "dispatch", upstream: state.upstream, attempt },
-      watchStall(),
+      resetStallTimer(),
     ];
   }
 
-  /** Goes on after an attempt that surely did not run. */
   function retryNotRun(reason: string, retryAfterMs: number): Effects {
     shared.current = undefined;
     const mayRetry = shared.attempts < maxAttempts && options.takeRetry();
-    return mayRetry ? startAttempt() : finishNotRun(reason, retryAfterMs);
+    return mayRetry ? startNextAttempt() : finishNotRun(reason, retryAfterMs);
   }
 
-  /** Goes on after an attempt of which nothing left this node. */
   function retryUnsent(reason: string): Effects {
     if (options.gate !== "none") return retryNotRun(reason, 0);
-    // No upstream saw it: it counts neither as a retry nor as an attempt.
+    // No upstream received the attempt, so it counts neither as a retry nor as
+    // an attempt.
     shared.current = undefined;
     shared.attempts -= 1;
-    return tried.size < maxUnsent ? startAttempt() : finishNotRun(reason, 0);
+    return attemptedIds.size < maxAttemptedUpstreams
+      ? startNextAttempt()
+      : finishNotRun(reason, 0);
   }
 
-  /** Whether one more attempt of what ran, or may have run, is allowed. */
-  function takeRepetition(): boolean {
-    // Events that were delivered whole are not asked for again.
-    const canGoOn = cutter !== undefined || !buffer.hasDelivered();
-    return canGoOn && shared.attempts < maxAttempts && options.takeRetry();
+  /**
+   * Takes a retry from the budget for a request that ran or may have run; false
+   * when the request must not be attempted again.
+   */
+  function takeUncertainRetry(): boolean {
+    // A stream of events continues after the last delivered event, so another
+    // attempt delivers no event twice.
+    const canContinue = assembler !== undefined || !buffer.hasDelivered();
+    return canContinue && shared.attempts < maxAttempts && options.takeRetry();
   }
 
-  /** Goes on after an attempt that ran, or may have run, without completing. */
   function retryUncertain(
     state: attemptState.AttemptState,
     message: string,
   ): Effects {
     if (!request.isRepeatable) return finishUnknown(message);
-    raiseRan(state.isStarted ? "yes" : "unknown");
+    raiseRunStatus(state.isStarted ? "yes" : "unknown");
     shared.current = undefined;
-    return takeRepetition()
-      ? startAttempt()
+    return takeUncertainRetry()
+      ? startNextAttempt()
       : finish({ kind: "failed", message, ran: shared.ran });
   }
 
-  function retrySilent(state: attemptState.AttemptState): Effects | undefined {
-    if (!takeRepetition()) return undefined;
-    const choice = options.chooseUpstream(tried);
+  function retryStalled(state: attemptState.AttemptState): Effects | undefined {
+    if (!takeUncertainRetry()) return undefined;
+    const choice = options.chooseUpstream(attemptedIds);
     if (choice.kind === "none") return undefined;
-    raiseRan(state.isStarted ? "yes" : "unknown");
+    raiseRunStatus(state.isStarted ? "yes" : "unknown");
     shared.current = undefined;
-    return followChoice(choice);
+    return applyChoice(choice);
   }
 
   function sendResume(state: attemptState.AttemptState): Effects {
@@ -260,7 +285,7 @@
     const { upstream, attemptId, nextSequence } = state;
     return [
       { kind: "resume", upstream, attemptId, fromSequence: nextSequence },
-      watchStall(),
+      resetStallTimer(),
     ];
   }
 
@@ -275,22 +300,22 @@
     options,
     shared,
     buffer,
-    eventAssembler: cutter,
+    eventAssembler: assembler,
     recorder,
     maxAttempts,
-    raiseRunStatus: raiseRan,
+    raiseRunStatus,
     finish,
     finishNotRun,
     finishUnknown,
     observe,
-    resetStallTimer: watchStall,
-    startNextAttempt: startAttempt,
-    startAttemptAt: beginAttempt,
+    resetStallTimer,
+    startNextAttempt,
+    startAttemptAt,
     dispatch,
     retryNotRun,
     retryUnsent,
     retryUncertain,
-    retryStalled: retrySilent,
+    retryStalled,
     sendResume,
     sendSeal,
   };
--- a/packages/anvilhinge/src/entry/session/session_frames.ts
+++ b/packages/anvilhinge/src/entry/session/session_frames.ts
@@ -1,4 +1,4 @@
-/** The part of a session that follows a dispatched attempt. */
+/** Session handlers for events that follow the dispatch of an attempt. */
 import type * as frames from "../../ports/frames.ts";
 import * as attemptState from "./attempt_state.ts";
 import type * as sessionCore from "./session_core.ts";
@@ -24,41 +24,31 @@
 }
 
 const defaultMaxResumes = 3;
-const firstFailureStatus = 500;
+/** Lowest HTTP status that counts as a failure of the upstream. */
+const minFailureStatus = 500;
 
 function isFailure(status: number): boolean {
-  return status >= firstFailureStatus;
+  return status >= minFailureStatus;
 }
 
-/** Creates the steps on the core of a session. */
+/** Creates the handlers that operate on the given session core. */
 export function createFrameHandlers(
   core: sessionCore.SessionCore,
 ): FrameHandlers {
-  const { request, options, shared, buffer, recorder, eventAssembler: cutter } =
+  const { request, options, shared, buffer, recorder, eventAssembler } = core;
+  const { observe, resetStallTimer, finishUnknown, sendResume, sendSeal } =
     core;
-  const {
-    observe,
-    resetStallTimer: watchStall,
-    finishUnknown,
-    sendResume,
-    sendSeal,
-  } = core;
-  const {
-    retryNotRun,
-    retryUnsent,
-    retryUncertain,
-    retryStalled: retrySilent,
-  } = core;
+  const { retryNotRun, retryUnsent, retryUncertain, retryStalled } = core;
   const maxResumes = options.maxResumes ?? defaultMaxResumes;
 
-  /** Goes on after the stream of frames broke off or fell silent. */
+  /** Resumes, seals or retries an attempt whose stream broke or stalled. */
   function handleBroken(
     state: attemptState.AttemptState,
     message: string,
   ): Effects {
-    const isFollowable = options.gate !== "none" && state.isStarted &&
+    const isResumable = options.gate !== "none" && state.isStarted &&
       state.resumes < maxResumes;
-    if (isFollowable) {
+    if (isResumable) {
       state.resumes += 1;
       return sendResume(state);
     }
@@ -81,7 +71,8 @@
     event: Extract<types.SessionEvent, { readonly kind: "lost" }>,
   ): Effects {
     if (state.phase !== "sent") return [];
-    // A call to resume that was not sent says nothing about the attempt.
+    // An unsent resume call gives no information about the attempt, which has
+    // already started.
     if (event.sent || state.isStarted) {
       return handleBroken(state, event.message);
     }
@@ -91,30 +82,34 @@
 
   function handleStall(): Effects {
     if (shared.current?.phase !== "sent") return [];
-    if (options.gate === "none") return handleSilence(shared.current);
-    // Slow work that must not run twice goes on as long as its agent says so.
+    if (options.gate === "none") return handleDirectStall(shared.current);
+    // A slow attempt that must not run twice continues as long as its agent
+    // answers the seal with `running`.
     return request.isRepeatable
       ? handleBroken(shared.current, "The upstream sent nothing for too long")
       : sendSeal(shared.current);
   }
 
-  /** Goes elsewhere if that is possible; silence alone ends no answer. */
-  function handleSilence(state: attemptState.AttemptState): Effects {
-    const started = request.isRepeatable ? retrySilent(state) : undefined;
-    if (started === undefined) return [];
+  /**
+   * Retries at another upstream if possible; otherwise keeps waiting, because a
+   * stall alone does not end the answer.
+   */
+  function handleDirectStall(state: attemptState.AttemptState): Effects {
+    const retried = request.isRepeatable ? retryStalled(state) : undefined;
+    if (retried === undefined) return [];
     const { upstream, attemptId } = state;
     return [
       ...observe(state, "lost"),
       { kind: "cancel", upstream, attemptId },
-      ...started,
+      ...retried,
     ];
   }
 
   function handleFrame(frame: frames.Frame): Effects {
     const state = shared.current;
-    const isOpen = state?.phase === "sent" || state?.phase === "sealing";
+    const isFollowed = state?.phase === "sent" || state?.phase === "sealing";
     if (
-      state === undefined || !isOpen ||
+      state === undefined || !isFollowed ||
       frame.requestId !== request.requestId ||
       frame.attemptId !== state.attemptId ||
       frame.sequence < state.nextSequence
@@ -125,10 +120,10 @@
       frame.sequence > state.nextSequence ||
       !attemptState.isValidPosition(frame)
     ) {
-      const dropped: types.SessionEffect = { kind: "drop", frame };
-      if (state.phase === "sealing") return [dropped];
+      const drop: types.SessionEffect = { kind: "drop", frame };
+      if (state.phase === "sealing") return [drop];
       state.isStarted = true;
-      return [dropped, ...handleBroken(state, "The answer has gaps")];
+      return [drop, ...handleBroken(state, "The answer has gaps")];
     }
     state.nextSequence += 1;
     return applyFrame(state, frame);
@@ -144,14 +139,15 @@
         state.isStarted = true;
         state.status = body.head.status;
         recorder.setHead(body.head);
-        // A stream that goes on elsewhere keeps the head of its first answer.
+        // A stream that continues at another upstream keeps the head that was
+        // already delivered.
         if (!buffer.hasDelivered()) {
           buffer.add({ kind: "head", head: body.head, upstream, attemptId });
         }
-        return [watchStall()];
+        return [resetStallTimer()];
       case "chunk":
         recorder.addData(body.data);
-        return [...applyData(state, body.data, sequence), watchStall()];
+        return [...applyData(state, body.data, sequence), resetStallTimer()];
       case "end":
         return handleEnd(state, body);
       case "refused":
@@ -178,30 +174,32 @@
     data: Uint8Array,
     sequence: number,
   ): Effects {
-    if (cutter === undefined || isFailure(state.status)) {
-      const isHeld = cutter !== undefined;
+    if (eventAssembler === undefined || isFailure(state.status)) {
+      const isHeld = eventAssembler !== undefined;
       return [...buffer.add({ kind: "data", data, sequence }, { isHeld })];
     }
-    const cut = cutter.push(data);
-    if (cut.kind === "misplaced") return handleBroken(state, cut.message);
-    return cut.data === undefined
+    const pushed = eventAssembler.push(data);
+    if (pushed.kind === "misplaced") return handleBroken(state, pushed.message);
+    return pushed.data === undefined
       ? []
-      : [...buffer.add({ kind: "data", data: cut.data, sequence })];
+      : [...buffer.add({ kind: "data", data: pushed.data, sequence })];
   }
 
-  /** Goes on after a whole answer that reports a failure of the upstream. */
-  function handleFailure(
+  /** Retries or delivers a complete answer with a failure status. */
+  function handleFailureStatus(
     state: attemptState.AttemptState,
     body: Body<"end">,
   ): Effects {
     const failed = observe(state, "failed", body);
-    const hasTries = request.isRepeatable && shared.attempts < core.maxAttempts;
-    // Part of a stream was delivered, which the failure does not continue.
+    const canRetry = request.isRepeatable &&
+      shared.attempts < core.maxAttempts;
+    // The failure's body must not follow the part of the stream that was
+    // already delivered.
     if (buffer.hasDelivered()) {
       const message = `Upstream ${state.upstream.id} answered ${state.status}`;
       return [...failed, ...retryUncertain(state, message)];
     }
-    if (!hasTries || !options.takeRetry()) return complete(state, failed);
+    if (!canRetry || !options.takeRetry()) return complete(state, failed);
     core.raiseRunStatus("yes");
     shared.current = undefined;
     return [...failed, ...core.startNextAttempt()];
@@ -212,15 +210,15 @@
     body: Body<"end">,
   ): Effects {
     if (options.gate === "none") {
-      if (isFailure(state.status)) return handleFailure(state, body);
-      if (cutter?.hasIncompleteEvent()) {
+      if (isFailure(state.status)) return handleFailureStatus(state, body);
+      if (eventAssembler?.hasIncompleteEvent()) {
         return handleBroken(state, "The answer ended inside an event");
       }
     }
     return complete(state, observe(state, "completed", body));
   }
 
-  /** Delivers what is held and ends the answer. */
+  /** Delivers the buffered parts and ends the answer. */
   function complete(
     state: attemptState.AttemptState,
     observed: Effects,
@@ -228,14 +226,14 @@
     shared.isDone = true;
     shared.current = undefined;
     const isRecorded = !request.isRepeatable && options.gate !== "none";
-    const settled: Effects = !isRecorded ? [] : [{
+    const settleEffects: Effects = !isRecorded ? [] : [{
       kind: "settle",
       attemptId: state.attemptId,
       state: { kind: "finished", answer: recorder.build() },
     }];
     return [
       ...observed,
-      ...settled,
+      ...settleEffects,
       ...buffer.takeAll(),
       { kind: "end" },
     ];
@@ -247,7 +245,7 @@
   ): Effects {
     const observed = observe(state, "refused", body);
     const reason = `Upstream ${state.upstream.id} refused: ${body.reason}`;
-    // Says nothing about the incarnation that the attempt was meant for.
+    // The incarnation that the attempt was addressed to may still have run it.
     if (body.reason === "wrong_incarnation") {
       return [...observed, ...retryUncertain(state, reason)];
     }
--- a/packages/anvilhinge/src/entry/session/session_timers.ts
+++ b/packages/anvilhinge/src/entry/session/session_timers.ts
@@ -1,19 +1,19 @@
 /**
- * The named timers of one session. A timer that is set anew at each frame costs
- * no platform timer: the armed one looks at the latest due instant when it
- * fires, and goes on waiting for the rest.
+ * Named timers of one session. Postponing a timer, as each frame does, creates
+ * no platform timer: when the platform timer fires before the postponed due
+ * time, it is scheduled again for the remaining time.
  */
 import type * as scheduler from "../../ports/scheduler.ts";
 import type * as session from "./session.ts";
 
 export interface SessionTimersOptions {
   readonly scheduler: scheduler.Scheduler;
-  /** Called when a timer is due. */
+  /** Called when a timer expires. */
   readonly onDue: (name: session.TimerName) => void;
 }
 
 export interface SessionTimers {
-  /** Sets the timer, in place of an earlier one of the same name. */
+  /** Sets the timer, replacing any earlier timer with this name. */
   set(name: session.TimerName, delayMs: number): void;
   /** Cancels all timers. */
   clear(): void;
@@ -21,11 +21,11 @@
 
 interface Timer {
   dueMs: number;
-  /** Instant at which the platform's timer fires; never after `dueMs`. */
-  armedMs: number;
+  /** Time at which the platform timer fires; never after `dueMs`. */
+  fireMs: number;
 }
 
-/** Creates timers of which none is set. */
+/** Creates the timers; initially none is set. */
 export function createSessionTimers(
   options: SessionTimersOptions,
 ): SessionTimers {
@@ -33,24 +33,24 @@
   const abort = new AbortController();
   const timers = new Map<session.TimerName, Timer>();
 
-  function start(name: session.TimerName, timer: Timer): void {
-    const { armedMs } = timer;
-    clock.schedule(() => expire(name, { timer, armedMs }), {
-      delayMs: armedMs - clock.now(),
+  function schedule(name: session.TimerName, timer: Timer): void {
+    const { fireMs } = timer;
+    clock.schedule(() => expire(name, { timer, fireMs }), {
+      delayMs: fireMs - clock.now(),
       signal: abort.signal,
     });
   }
 
   function expire(
     name: session.TimerName,
-    fired: { readonly timer: Timer; readonly armedMs: number },
+    fired: { readonly timer: Timer; readonly fireMs: number },
   ): void {
     const { timer } = fired;
-    // Replaced by a timer that is due earlier, or done already.
-    if (timers.get(name) !== timer || timer.armedMs !== fired.armedMs) return;
-    if (timer.dueMs > fired.armedMs) {
-      timer.armedMs = timer.dueMs;
-      start(name, timer);
+    // The timer was replaced by an earlier one, or has already expired.
+    if (timers.get(name) !== timer || timer.fireMs !== fired.fireMs) return;
+    if (timer.dueMs > fired.fireMs) {
+      timer.fireMs = timer.dueMs;
+      schedule(name, timer);
       return;
     }
     timers.delete(name);
@@ -60,14 +60,14 @@
   return {
     set(name, delayMs) {
       const dueMs = clock.now() + delayMs;
-      const armed = timers.get(name);
-      if (armed !== undefined && armed.armedMs <= dueMs) {
-        armed.dueMs = dueMs;
+      const current = timers.get(name);
+      if (current !== undefined && current.fireMs <= dueMs) {
+        current.dueMs = dueMs;
         return;
       }
-      const timer = { dueMs, armedMs: dueMs };
+      const timer = { dueMs, fireMs: dueMs };
       timers.set(name, timer);
-      start(name, timer);
+      schedule(name, timer);
     },
     clear() {
       timers.clear();
--- a/packages/anvilhinge/src/entry/session/session_types.ts
+++ b/packages/anvilhinge/src/entry/session/session_types.ts
@@ -1,24 +1,25 @@
-/** Events, effects and options of the state machine of one request. */
+/** Events, effects and options of the session state machine. */
 import type * as claims from "@anvilhinge/coordination/claims";
 import type * as clock from "@anvilhinge/coordination/clock";
 import type * as engine from "../../ports/engine.ts";
 import type * as frames from "../../ports/frames.ts";
 
-/** An upstream that a request may be sent to. */
+/** An upstream to which an attempt can be dispatched. */
 export interface Upstream {
   /** `<group>/<rank>`. */
   readonly id: string;
   readonly group: string;
   readonly rank: number;
-  /** Address of the agent as `host:port`. */
+  /** Address of the agent, as `host:port`. */
   readonly address: string;
   readonly half: string;
   readonly epoch: number;
 }
 
+/** Result of choosing an upstream for the next attempt. */
 export type UpstreamChoice =
   | { readonly kind: "chosen"; readonly upstream: Upstream }
-  /** All upstreams are busy; a `granted` or `denied` event follows. */
+  /** No slot is free at any upstream; a `granted` or `denied` event follows. */
   | { readonly kind: "wait" }
   | {
     readonly kind: "none";
@@ -26,31 +27,35 @@
     readonly retryAfterMs: number;
   };
 
-/** The request as the caller sent it. */
+/** A request as received from the caller. */
 export interface Request {
   readonly requestId: string;
   readonly workspace: string;
   readonly work: frames.Work;
-  /** False when a second run would have a second effect. */
+  /** False when running the request twice would take effect twice. */
   readonly isRepeatable: boolean;
-  /** True when the caller named it, so that it may have been sent before. */
+  /**
+   * True when the caller supplied the id or idempotency key, so that an earlier
+   * submission of the request may exist.
+   */
   readonly isNamed: boolean;
-  /** Digest of method, path and body; empty for repeatable work. */
+  /** Digest of method, path and body; empty for repeatable requests. */
   readonly digest: string;
   readonly priority: number;
-  /** Instant on the clock by which the caller wants the answer. */
+  /** Time on the entry's clock by which the caller expects the answer. */
   readonly deadlineAtMs: number;
   /**
-   * `streamed` delivers data as it arrives; `whole` holds it back until the
-   * end frame, so that an answer that breaks can be retried; `events` delivers
-   * whole server-sent events, so that a stream that breaks can go on elsewhere.
+   * How the answer is delivered. `streamed`: data is forwarded as it arrives.
+   * `whole`: data is buffered until the end frame, so that an interrupted
+   * answer can be retried. `events`: only complete server-sent events are
+   * forwarded, so that an interrupted stream can continue at another upstream.
    */
   readonly delivery: "streamed" | "whole" | "events";
-  /** Id of the last event that the caller has of an earlier answer. */
+  /** Id of the last event that the caller received from an earlier answer. */
   readonly resumeAfter?: string;
 }
 
-/** A point within the answer of an attempt that an earlier entry followed. */
+/** Position at which to resume an attempt that an entry followed earlier. */
 export interface ResumePoint {
   readonly upstream: Upstream;
   readonly attemptId: string;
@@ -58,9 +63,10 @@
 }
 
 /**
- * What stands before an upstream. `agent`: an agent that describes itself,
- * admits claimed attempts and can seal them. `none`: the upstream itself; what
- * may have reached it may have run.
+ * What admits attempts in front of an upstream. `agent`: an agent, which
+ * reports its incarnation and clock, admits claimed attempts and can seal them.
+ * `none`: attempts go directly to the upstream, so an attempt that may have
+ * reached it may have run.
  */
 export type UpstreamGate = "agent" | "none";
 
@@ -71,42 +77,45 @@
   /** Wall-clock time in milliseconds since 1970, for the age of claims. */
   readonly readWallMs: () => number;
   readonly createAttemptId: () => string;
-  /** Chooses an upstream that is not in `tried`, if there is one. */
-  readonly chooseUpstream: (tried: ReadonlySet<string>) => UpstreamChoice;
-  /** Takes one retry from the budget; false when the budget is used up. */
+  /** Chooses an upstream whose id is not in `attemptedIds`, if there is one. */
+  readonly chooseUpstream: (
+    attemptedIds: ReadonlySet<string>,
+  ) => UpstreamChoice;
+  /** Takes one retry from the retry budget; false when it is exhausted. */
   readonly takeRetry: () => boolean;
   /**
-   * Most attempts of one request.
+   * Maximum number of attempts per request.
    * @default 4
    */
   readonly maxAttempts?: number;
   /**
-   * Most resumes of one attempt after its stream broke.
+   * Maximum number of times that the broken stream of one attempt is resumed.
    * @default 3
    */
   readonly maxResumes?: number;
   /**
-   * Longest silence of a running attempt before its stream counts as broken,
+   * Time without a frame after which a running attempt is considered stalled,
    * in milliseconds.
    * @default 5000
    */
   readonly stallMs?: number;
   /**
-   * Most bytes of a whole answer that are held back; a longer answer is
-   * delivered as it arrives.
+   * Maximum number of bytes of a whole answer that are buffered; a longer
+   * answer is forwarded as it arrives.
    * @default 8388608
    */
   readonly wholeAnswerLimitBytes?: number;
-  /** Continues this attempt instead of starting one. */
+  /** Resumes an existing attempt instead of starting an attempt. */
   readonly resumePoint?: ResumePoint;
 }
 
-/** What is known of the agent before an attempt is sent to it. */
+/** Outcome of a request for the agent's description, before the dispatch. */
 export type PrepareOutcome =
   | (frames.AgentDescription & { readonly kind: "described" })
-  /** Nothing of the attempt was sent. */
+  /** The agent did not respond; the attempt was not dispatched. */
   | { readonly kind: "unreachable" };
 
+/** Outcome of a seal; `unreachable` when the agent did not respond. */
 export type SealResult = frames.SealOutcome | "unreachable";
 
 export type SessionEvent =
@@ -116,9 +125,9 @@
     readonly attemptId: string;
     readonly outcome: PrepareOutcome;
   }
-  /** A place was found for a session that waits. */
+  /** The waiting session received a slot at an upstream. */
   | { readonly kind: "granted"; readonly upstream: Upstream }
-  /** A session that waits gets no place. */
+  /** The waiting session will not receive a slot. */
   | {
     readonly kind: "denied";
     readonly reason: string;
@@ -131,7 +140,10 @@
   }
   | { readonly kind: "found"; readonly result: claims.ClaimResult }
   | { readonly kind: "frame"; readonly frame: frames.Frame }
-  /** The call to the agent broke; `sent` is false when nothing left this node. */
+  /**
+   * The call to the agent or upstream failed; `sent` is false when no part of
+   * it left this node.
+   */
   | {
     readonly kind: "lost";
     readonly attemptId: string;
@@ -148,10 +160,10 @@
 
 export type TimerName = "deadline" | "stall";
 
-/** Whether a request had any effect. */
+/** Whether a request ran, at least in part, and so may have had an effect. */
 export type RunStatus = "no" | "yes" | "unknown";
 
-/** The last word to a caller whose answer could not be completed. */
+/** Final result for a caller whose answer could not be completed. */
 export type FinalAnswer =
   /** The request did not run. */
   | {
@@ -159,13 +171,16 @@
     readonly reason: string;
     readonly retryAfterMs: number;
   }
-  /** A repeatable request did not complete; it may be sent again. */
+  /** A repeatable request did not complete; the caller may send it again. */
   | {
     readonly kind: "failed";
     readonly message: string;
     readonly ran: RunStatus;
   }
-  /** Whether the request ran is not known; ask later with the request id. */
+  /**
+   * Whether the request ran is unknown; the caller can query the outcome later
+   * by the request id.
+   */
   | {
     readonly kind: "unknown";
     readonly message: string;
@@ -176,27 +191,30 @@
     readonly message: string;
     readonly ran: RunStatus;
   }
-  /** The request's id or key was used for another body; nothing ran now. */
+  /**
+   * The request id or idempotency key was already used for a different
+   * method, path or body; this request did not run.
+   */
   | { readonly kind: "other_body" }
-  /** The request ran earlier; its answer was too large to be recorded. */
+  /** The request ran earlier, and its answer was too large to record. */
   | { readonly kind: "already_run"; readonly status: number };
 
 export type SessionEffect =
-  /** Learn the agent's incarnation and clock; answered by `prepared`. */
+  /** Obtain the agent's incarnation and clock; answered by `prepared`. */
   | {
     readonly kind: "prepare";
     readonly upstream: Upstream;
     readonly attemptId: string;
   }
-  /** Make a claim durable; answered by `claim_answered`. */
+  /** Store a claim durably; answered by `claim_answered`. */
   | {
     readonly kind: "claim";
     readonly claim: claims.NewClaim;
     readonly replaces?: string;
   }
-  /** Look the call up among the claims; answered by `found`. */
+  /** Look up the claim of this call; answered by `found`. */
   | { readonly kind: "find" }
-  /** Record how a claimed attempt ended. */
+  /** Record the outcome of a claimed attempt. */
   | {
     readonly kind: "settle";
     readonly attemptId: string;
@@ -214,7 +232,7 @@
     readonly attemptId: string;
     readonly fromSequence: number;
   }
-  /** Keep the attempt from starting; answered by `seal_answered`. */
+  /** Prevent the attempt from starting; answered by `seal_answered`. */
   | {
     readonly kind: "seal";
     readonly upstream: Upstream;
@@ -243,17 +261,17 @@
     readonly name: TimerName;
     readonly delayMs: number;
   }
-  /** An attempt ended; feeds health and load of the upstream. */
+  /** Report the end of an attempt, for the health and load of the upstream. */
   | {
     readonly kind: "observe";
     readonly upstream: Upstream;
     readonly outcome: "completed" | "refused" | "failed" | "lost";
     readonly load?: engine.EngineLoad;
   }
-  /** A frame that does not continue the present attempt was dropped. */
+  /** Drop a frame that is not the next one of the current attempt. */
   | { readonly kind: "drop"; readonly frame: frames.Frame };
 
-/** State machine of one request. */
+/** State machine that handles one request. */
 export interface Session {
   handle(event: SessionEvent): readonly SessionEffect[];
   isDone(): boolean;
