--- a/packages/anvilhinge/src/entry/session/session_core.ts
+++ b/packages/anvilhinge/src/entry/session/session_core.ts
@@ -48,9 +48,7 @@
   readonly options: types.SessionOptions;
   readonly shared: SharedState;
   readonly buffer: answerBuffer.AnswerBuffer;
-  /**
-   * Assembles the answer into events; undefined unless delivery is `events`.
-   */
+  /** Assembles complete events; undefined unless delivery is `events`. */
   readonly eventAssembler: eventAssembler.EventAssembler | undefined;
   readonly recorder: answerBuffer.AnswerRecorder;
   readonly maxAttempts: number;
@@ -99,9 +97,7 @@
 }
 
 const defaultMaxAttempts = 4;
-/**
- * Number of attempted upstreams after which an unsent attempt is not retried.
- */
+/** Attempted upstreams after which an unsent attempt is not retried. */
 const maxAttemptedUpstreams = 4;
 const defaultStallMs = 5_000;
 const defaultWholeAnswerLimitBytes = 8 * 1024 * 1024;
