--- a/packages/coordination/src/admission.ts
+++ b/packages/coordination/src/admission.ts
@@ -1,16 +1,17 @@
 /**
- * Admission at one upstream: refuses work at once that could not finish before
- * its deadline. A request waits for those of its own and of more urgent
- * priorities only, so the least urgent work is shed first.
+ * Admission control at one upstream: refuses requests at once that could not
+ * finish before their deadline. The predicted wait counts only requests of the
+ * priority itself and of more urgent ones, so the least urgent requests are shed
+ * first.
  */
 import type * as clock from "./clock.ts";
 import type * as loadEstimate from "./load_estimate.ts";
 
-/** Work that asks to be admitted. */
+/** A request for admission. */
 export interface AdmissionRequest {
   /** 0 is the most urgent. */
   readonly priority: number;
-  /** Time left, in milliseconds. */
+  /** Time left until the deadline, in milliseconds. */
   readonly deadlineMs: number;
 }
 
@@ -25,58 +26,58 @@
     "running" | "queued"
   >;
   /**
-   * Share of the time left that wait and work may be expected to take.
+   * Maximum share of the time left that the predicted wait and work may take.
    * @default 0.9
    */
   readonly safetyFactor?: number;
 }
 
 export interface Admission {
-  /** Decides about one request; does not count it. */
+  /** Decides on one request without counting it. */
   decide(request: AdmissionRequest): AdmissionOutcome;
-  /** Counts admitted work that was started. */
+  /** Counts the start of an admitted request. */
   recordStart(priority: number): void;
-  /** Counts the end of started work, however it ended. */
+  /** Counts the end of a started request, whatever its outcome. */
   recordEnd(priority: number): void;
 }
 
-const defaultSafety = 0.9;
+const defaultSafetyFactor = 0.9;
 const rateHalfLifeMs = 5_000;
-/** Ends that must be seen before a rate is believed. */
+/** Minimum number of ended requests for a rate estimate. */
 const minEnds = 8;
-const shortestRetryMs = 200;
-const longestRetryMs = 30_000;
+const minRetryMs = 200;
+const maxRetryMs = 30_000;
 
-/** Creates an admission that knows no rate yet and admits everything. */
+/** Creates an admission control; admits all requests until a rate is known. */
 export function createAdmission(options: AdmissionOptions): Admission {
   const { clock } = options;
-  const safety = options.safetyFactor ?? defaultSafety;
-  const openByPriority: number[] = [];
+  const safetyFactor = options.safetyFactor ?? defaultSafetyFactor;
+  const inFlightByPriority: number[] = [];
   const startedAtMs = clock.now();
-  let ends = 0;
-  /** Ends and time, both fading with the half-life. */
-  let fadedEnds = 0;
-  let fadedMs = 0;
-  let fadedAtMs = startedAtMs;
+  let endCount = 0;
+  /** Ended requests and elapsed time, both with exponential decay. */
+  let decayedEnds = 0;
+  let decayedMs = 0;
+  let decayedAtMs = startedAtMs;
 
   function updateRate(): void {
-    const elapsedMs = clock.now() - fadedAtMs;
-    const kept = 0.5 ** (elapsedMs / rateHalfLifeMs);
-    fadedEnds *= kept;
-    fadedMs = fadedMs * kept + elapsedMs;
-    fadedAtMs = clock.now();
+    const elapsedMs = clock.now() - decayedAtMs;
+    const decay = 0.5 ** (elapsedMs / rateHalfLifeMs);
+    decayedEnds *= decay;
+    decayedMs = decayedMs * decay + elapsedMs;
+    decayedAtMs = clock.now();
   }
 
-  function computeMsPerEnd(): number {
+  function computeEndIntervalMs(): number {
     updateRate();
-    if (ends < minEnds || fadedEnds === 0) return 0;
-    return fadedMs / fadedEnds;
+    if (endCount < minEnds || decayedEnds === 0) return 0;
+    return decayedMs / decayedEnds;
   }
 
   function countAhead(priority: number): number {
     let count = 0;
-    for (let urgent = 0; urgent <= priority; urgent += 1) {
-      count += openByPriority[urgent] ?? 0;
+    for (let level = 0; level <= priority; level += 1) {
+      count += inFlightByPriority[level] ?? 0;
     }
     return count;
   }
@@ -84,28 +85,28 @@
   return {
     decide({ priority, deadlineMs }) {
       const load = options.readLoad();
-      // Without a queue the engine takes more in at once.
+      // Without a queue, the engine starts a further request at once.
       if (load.queued === 0) return { kind: "admitted" };
-      const msPerEnd = computeMsPerEnd();
+      const endIntervalMs = computeEndIntervalMs();
       const ahead = Math.max(0, countAhead(priority) - load.running);
-      const waitMs = ahead * msPerEnd;
-      const workMs = load.running * msPerEnd;
-      const spareMs = deadlineMs * safety - waitMs - workMs;
+      const waitMs = ahead * endIntervalMs;
+      const workMs = load.running * endIntervalMs;
+      const spareMs = deadlineMs * safetyFactor - waitMs - workMs;
       if (spareMs >= 0) return { kind: "admitted" };
       const retryAfterMs = Math.ceil(
-        Math.min(longestRetryMs, Math.max(shortestRetryMs, -spareMs)),
+        Math.min(maxRetryMs, Math.max(minRetryMs, -spareMs)),
       );
       return { kind: "overloaded", retryAfterMs };
     },
     recordStart(priority) {
-      openByPriority[priority] = (openByPriority[priority] ?? 0) + 1;
+      inFlightByPriority[priority] = (inFlightByPriority[priority] ?? 0) + 1;
     },
     recordEnd(priority) {
       updateRate();
-      ends += 1;
-      fadedEnds += 1;
-      const open = openByPriority[priority] ?? 0;
-      openByPriority[priority] = Math.max(0, open - 1);
+      endCount += 1;
+      decayedEnds += 1;
+      const inFlight = inFlightByPriority[priority] ?? 0;
+      inFlightByPriority[priority] = Math.max(0, inFlight - 1);
     },
   };
 }
--- a/packages/coordination/src/admission_test.ts
+++ b/packages/coordination/src/admission_test.ts
@@ -8,7 +8,7 @@
     readLoad: () => ({ running: 4, queued }),
     safetyFactor: 1,
   });
-  // One end every 100 ms.
+  // One request ends every 100 ms.
   for (let end = 0; end < 200; end += 1) {
     tested.recordStart(4);
     manual.advance(100);
@@ -17,20 +17,24 @@
   return { tested, manual };
 }
 
-test("admits everything while nothing is queued or no rate is known", () => {
-  const idle = createLoaded(0).tested;
-  expect(idle.decide({ priority: 9, deadlineMs: 1 }).kind).toBe("admitted");
-  const fresh = admission.createAdmission({
+test("admits all requests while the queue is empty or the rate is unknown", () => {
+  const withoutQueue = createLoaded(0).tested;
+  expect(withoutQueue.decide({ priority: 9, deadlineMs: 1 }).kind).toBe(
+    "admitted",
+  );
+  const withoutRate = admission.createAdmission({
     clock: clock.createManualClock(),
     readLoad: () => ({ running: 4, queued: 50 }),
   });
-  expect(fresh.decide({ priority: 9, deadlineMs: 1 }).kind).toBe("admitted");
+  expect(withoutRate.decide({ priority: 9, deadlineMs: 1 }).kind).toBe(
+    "admitted",
+  );
 });
 
-test("refuses what cannot finish in time and says when to come back", () => {
+test("refuses a request that cannot meet its deadline, with a retry delay", () => {
   const { tested } = createLoaded(10);
   for (let open = 0; open < 14; open += 1) tested.recordStart(4);
-  // 10 wait at 100 ms each, then 4 x 100 ms of work: 1.4 s.
+  // 10 queued requests of 100 ms each, then 4 x 100 ms of work: 1.4 s.
   expect(tested.decide({ priority: 4, deadlineMs: 1_500 }).kind)
     .toBe("admitted");
   const refused = tested.decide({ priority: 4, deadlineMs: 1_000 });
@@ -40,7 +44,7 @@
   expect(retryAfterMs).toBeLessThan(450);
 });
 
-test("sheds the least urgent first", () => {
+test("sheds the least urgent requests first", () => {
   const { tested } = createLoaded(10);
   for (let open = 0; open < 14; open += 1) tested.recordStart(4);
   const deadlineMs = 1_000;
@@ -48,7 +52,7 @@
   expect(tested.decide({ priority: 6, deadlineMs }).kind).toBe("overloaded");
 });
 
-test("an end makes room", () => {
+test("admits a request again after others have ended", () => {
   const { tested, manual } = createLoaded(10);
   for (let open = 0; open < 14; open += 1) tested.recordStart(4);
   const request = { priority: 4, deadlineMs: 1_300 };
--- a/packages/coordination/src/backoff.ts
+++ b/packages/coordination/src/backoff.ts
@@ -1,17 +1,17 @@
 /**
- * Waits between retries: exponential with a bound and randomized, so that
- * nodes which failed together don't come back together.
+ * Delays between retries: exponential backoff with an upper bound and jitter,
+ * so that nodes which failed simultaneously don't retry simultaneously.
  */
 import type * as random from "./random.ts";
 
 export interface BackoffOptions {
-  /** Failures in a row before this wait; 0 for the first. */
+  /** Number of earlier consecutive failures; 0 for the first delay. */
   readonly failures: number;
-  /** Mean of the first wait in milliseconds. */
+  /** Mean of the first delay in milliseconds. */
   readonly baseMs: number;
   readonly random: random.RandomSource;
   /**
-   * Doublings after which the wait stops to grow.
+   * Maximum number of times that the delay is doubled.
    * @default 5
    */
   readonly maxDoublings?: number;
@@ -19,7 +19,7 @@
 
 const defaultMaxDoublings = 5;
 
-/** Computes a wait between 50% and 150% of `baseMs` doubled per failure. */
+/** Computes a delay of 50% to 150% of `baseMs`, doubled per failure. */
 export function computeRetryDelayMs(options: BackoffOptions): number {
   const maxDoublings = options.maxDoublings ?? defaultMaxDoublings;
   const factor = 2 ** Math.min(options.failures, maxDoublings);
--- a/packages/coordination/src/choice.ts
+++ b/packages/coordination/src/choice.ts
@@ -1,8 +1,12 @@
 /**
- * Choice of an upstream by one node: a subset by distance, prefix affinity with
- * bounded load, then power of two choices on the expected wait, which is the
- * lag-compensated load times the step time of the upstream's group. No request
- * scans the upstreams: pools are indexed by need and candidates are sampled.
+ * Upstream selection at one node. A pool holds the upstreams that serve one
+ * model or service; the node uses a subset of it, nearest upstreams first. The
+ * node prefers an upstream that probably caches the prompt's prefix, as long as
+ * the expected wait there is within a bound. Otherwise it samples two upstreams
+ * of the subset and takes the one with the shorter expected wait (power of two
+ * choices). The expected wait is the lag-compensated load times the step time
+ * of the upstream's group. No request scans all upstreams: pools are indexed by
+ * name and candidates are sampled.
  * Sources: Mitzenmacher, "The power of two choices in randomized load
  * balancing", 2001; Mirrokni, Thorup and Zadimoghaddam, "Consistent hashing
  * with bounded loads", 2018.
@@ -15,7 +19,7 @@
 import * as subset from "./subset.ts";
 import * as upstreamPool from "./upstream_pool.ts";
 
-/** An upstream that requests can be sent to. */
+/** An upstream that requests can be dispatched to. */
 export interface Upstream extends subset.LocatedMember {
   /** Upstreams of one group advance in lock-step and share a step time. */
   readonly group: string;
@@ -27,19 +31,21 @@
     readonly upstream: T;
     readonly by: "affinity" | "load";
   }
-  /** No upstream serves the need. */
+  /** The pool has no upstreams. */
   | { readonly kind: "unserved" }
-  /** All upstreams were tried by this request or are ejected. */
+  /** Every upstream is unavailable or was attempted by this request. */
   | { readonly kind: "exhausted" }
-  /** Every upstream of the subset would start the request too late. */
+  /** The queue wait of every upstream in the subset exceeds the time left. */
   | { readonly kind: "overloaded"; readonly waitMs: number };
 
 export interface ChooseOptions {
+  /** Ids of the upstreams that this request was already dispatched to. */
   readonly tried: ReadonlySet<string>;
   /** Keys of the prompt's prefix, from `computePrefixKeys`. */
   readonly prefixKeys?: readonly number[];
   /**
-   * Time left to the request, in milliseconds.
+   * Time left for the request, in milliseconds.
+   * Upstreams with a longer queue wait are not chosen.
    * @default Infinity
    */
   readonly leftMs?: number;
@@ -47,15 +53,15 @@
 
 /** How an attempt ended. */
 export interface AttemptEnd {
-  /** When the attempt was sent; the oldest open attempt when undefined. */
+  /** Dispatch time of the attempt. Default: that of the oldest open attempt. */
   readonly sentAtMs?: number;
   readonly report?: loadEstimate.LoadReport;
   readonly isCompleted: boolean;
-  /** Keys of the prefix that the upstream holds if it completed. */
+  /** Keys of the prefix that the upstream caches after a completed attempt. */
   readonly prefixKeys?: readonly number[];
 }
 
-/** Blocks of a prompt that an upstream stored or dropped. */
+/** Prompt blocks that an upstream added to its cache or evicted from it. */
 export interface CacheEvent {
   readonly kind: "stored" | "evicted";
   readonly upstreamId: string;
@@ -63,32 +69,32 @@
 }
 
 export interface Chooser<T extends Upstream> {
-  /** Replaces the upstreams that serve a need; an upstream serves one need. */
-  setPool(need: string, members: readonly T[]): void;
-  choose(need: string, options: ChooseOptions): ChoiceOutcome<T>;
+  /** Replaces the members of a pool; an upstream belongs to one pool only. */
+  setPool(poolName: string, members: readonly T[]): void;
+  choose(poolName: string, options: ChooseOptions): ChoiceOutcome<T>;
   recordSent(upstreamId: string): void;
   recordEnded(upstreamId: string, end: AttemptEnd): void;
   recordReport(upstreamId: string, report: loadEstimate.LoadReport): void;
   recordCacheEvent(event: CacheEvent): void;
   estimateLoad(upstreamId: string): number;
-  /** Upstreams of a need that the node uses at present. */
-  listSubset(need: string): readonly T[];
+  /** Members of a pool that the node currently uses. */
+  listSubset(poolName: string): readonly T[];
 }
 
 export interface ChooserOptions extends subset.OrderOptions {
   readonly clock: clock.Clock;
   readonly random: random.RandomSource;
-  /** False for an upstream that must get no request now. Default: all may. */
+  /** Whether an upstream may receive requests. Default: always true. */
   readonly isAvailable?: (upstreamId: string) => boolean;
-  /** Factor on the expected wait of a doubtful upstream. Default: 1. */
+  /** Factor on the expected wait of an unreliable upstream. Default: 1. */
   readonly computePenalty?: (upstreamId: string) => number;
   /**
-   * Upstreams of a need that the node uses at low load.
+   * Number of pool members that the node uses at low load.
    * @default 16
    */
   readonly minSubsetSize?: number;
   /**
-   * Mean requests at an upstream above which the subset grows.
+   * Mean number of requests per upstream above which the subset grows.
    * @default 12
    */
   readonly growThreshold?: number;
@@ -98,50 +104,54 @@
    */
   readonly reportLagMs?: number;
   /**
-   * Largest expected wait at a preferred upstream, over the mean.
+   * Maximum expected wait at a preferred upstream, as a multiple of the mean.
    * @default 1.25
    */
   readonly affinityBound?: number;
   /**
-   * Requests that a preferred upstream may have above its bound.
+   * Number of requests that a preferred upstream may have above the bound.
    * @default 2
    */
   readonly affinitySlack?: number;
-  /** @default 20000 */
+  /**
+   * Maximum number of prefix keys with a recorded upstream.
+   * @default 20000
+   */
   readonly maxHints?: number;
 }
 
-interface Known<T> {
+interface TrackedUpstream<T> {
   readonly upstream: T;
-  readonly need: string;
-  /** Created at first use: a node sends to few of the upstreams it knows. */
+  readonly poolName: string;
+  /** Created on first use, as a node dispatches to few of its upstreams. */
   load?: loadEstimate.Load;
 }
 
-interface NeedState<T> {
+interface PoolState<T> {
   readonly pool: upstreamPool.Pool<T>;
-  /** Moving mean of the reported loads. */
+  /** Moving average of the reported loads. */
   meanReported: number;
-  /** Moving mean of the expected wait at sampled upstreams. */
+  /** Moving average of the expected wait at sampled upstreams. */
   meanWaitUs: number;
-  /** Moving mean of the time that a completed attempt took. */
+  /** Moving average of the duration of completed attempts. */
   serviceMs: number;
 }
 
-const defaultMinSubset = 16;
-const defaultWidenLoad = 12;
+const defaultMinSubsetSize = 16;
+const defaultGrowThreshold = 12;
 const defaultReportLagMs = 100;
 const defaultAffinityBound = 1.25;
 const defaultAffinitySlack = 2;
 const reportHalfLifeMs = 5_000;
-const meanWeight = 0.02;
-const ringCandidates = 4;
+/** Weight of a new value in each moving average. */
+const averageWeight = 0.02;
+const ringCandidateCount = 4;
 
-function moveMean(mean: number, value: number): number {
-  return mean === 0 ? value : mean + meanWeight * (value - mean);
+function updateMean(mean: number, value: number): number {
+  return mean === 0 ? value : mean + averageWeight * (value - mean);
 }
 
-/** Creates a chooser that knows no upstream. */
+/** Creates a chooser without pools. */
 export function createChooser<T extends Upstream>(
   options: ChooserOptions,
 ): Chooser<T> {
@@ -151,98 +161,105 @@
   const affinityBound = options.affinityBound ?? defaultAffinityBound;
   const affinitySlack = options.affinitySlack ?? defaultAffinitySlack;
   const lagMs = options.reportLagMs ?? defaultReportLagMs;
-  const needs = new Map<string, NeedState<T>>();
-  const known = new Map<string, Known<T>>();
+  const pools = new Map<string, PoolState<T>>();
+  const upstreams = new Map<string, TrackedUpstream<T>>();
   const steps = stepTimes.createStepTimes({ clock });
   const hints = prefixAffinity.createPrefixHints({
     maxHints: options.maxHints,
   });
 
-  function readTimes(): loadEstimate.LoadOptions & { readonly nowMs: number } {
+  function readLoadOptions(): loadEstimate.LoadOptions & {
+    readonly nowMs: number;
+  } {
     return { nowMs: clock.now(), lagMs, halfLifeMs: reportHalfLifeMs };
   }
 
-  function readEstimate(entry: Known<T>): loadEstimate.EstimateOptions {
-    const typicalLoad = needs.get(entry.need)?.meanReported ?? 0;
-    return { ...readTimes(), typicalLoad };
+  function readEstimateOptions(
+    tracked: TrackedUpstream<T>,
+  ): loadEstimate.EstimateOptions {
+    const typicalLoad = pools.get(tracked.poolName)?.meanReported ?? 0;
+    return { ...readLoadOptions(), typicalLoad };
   }
 
-  function readLoad(upstreamId: string): number {
-    const entry = known.get(upstreamId);
-    if (entry === undefined) return 0;
-    const estimate = readEstimate(entry);
-    return entry.load === undefined
+  function estimateUpstreamLoad(upstreamId: string): number {
+    const tracked = upstreams.get(upstreamId);
+    if (tracked === undefined) return 0;
+    const estimate = readEstimateOptions(tracked);
+    return tracked.load === undefined
       ? estimate.typicalLoad
-      : loadEstimate.estimateLoad(entry.load, estimate);
+      : loadEstimate.estimateLoad(tracked.load, estimate);
   }
 
-  function getLoad(entry: Known<T>): loadEstimate.Load {
-    entry.load ??= loadEstimate.createLoad();
-    return entry.load;
+  function getOrCreateLoad(tracked: TrackedUpstream<T>): loadEstimate.Load {
+    tracked.load ??= loadEstimate.createLoad();
+    return tracked.load;
   }
 
   function estimateWaitUs(upstream: T): number {
-    const load = readLoad(upstream.id);
+    const load = estimateUpstreamLoad(upstream.id);
     const penalty = computePenalty(upstream.id);
     return (load + 1) * steps.read(upstream.group) * penalty;
   }
 
-  function sampleWaitUs(state: NeedState<T>, upstream: T): number {
+  function sampleWaitUs(state: PoolState<T>, upstream: T): number {
     const waitUs = estimateWaitUs(upstream);
-    state.meanWaitUs = moveMean(state.meanWaitUs, waitUs);
-    state.pool.recordSample(readLoad(upstream.id));
+    state.meanWaitUs = updateMean(state.meanWaitUs, waitUs);
+    state.pool.recordSample(estimateUpstreamLoad(upstream.id));
     return waitUs;
   }
 
-  function isWithinBound(state: NeedState<T>, upstream: T): boolean {
+  function isWithinBound(state: PoolState<T>, upstream: T): boolean {
     const slackUs = affinitySlack * steps.read(upstream.group);
     const limitUs = affinityBound * state.meanWaitUs + slackUs;
     return estimateWaitUs(upstream) <= limitUs;
   }
 
-  function findHinted(need: string, keys: readonly number[]): T[] {
-    const entry = known.get(hints.find(keys) ?? "");
-    return entry?.need === need ? [entry.upstream] : [];
+  function findByHint(poolName: string, keys: readonly number[]): T[] {
+    const tracked = upstreams.get(hints.find(keys) ?? "");
+    return tracked?.poolName === poolName ? [tracked.upstream] : [];
   }
 
-  /** Time until a request sent now would start, in milliseconds. */
-  function estimateStartMs(state: NeedState<T>, upstream: T): number {
-    const entry = known.get(upstream.id);
-    if (entry?.load === undefined) return 0;
-    const queued = loadEstimate.estimateQueued(entry.load, readEstimate(entry));
-    return queued * state.serviceMs / Math.max(1, entry.load.running);
+  /** Estimates how long a request dispatched now would be queued. */
+  function estimateQueueWaitMs(state: PoolState<T>, upstream: T): number {
+    const tracked = upstreams.get(upstream.id);
+    if (tracked?.load === undefined) return 0;
+    const queued = loadEstimate.estimateQueued(
+      tracked.load,
+      readEstimateOptions(tracked),
+    );
+    return queued * state.serviceMs / Math.max(1, tracked.load.running);
   }
 
-  function choosePreferred(
-    need: string,
-    state: NeedState<T>,
+  function chooseByAffinity(
+    poolName: string,
+    state: PoolState<T>,
     { isUsable, prefixKeys = [], leftMs = Infinity }: Candidates<T>,
   ): T | undefined {
     const firstKey = prefixKeys[0];
     if (firstKey === undefined) return undefined;
     const preferred = [
-      ...findHinted(need, prefixKeys),
-      ...state.pool.ring.find(firstKey, ringCandidates),
+      ...findByHint(poolName, prefixKeys),
+      ...state.pool.ring.find(firstKey, ringCandidateCount),
     ];
     return preferred.find((upstream) =>
       isUsable(upstream) && isWithinBound(state, upstream) &&
-      estimateStartMs(state, upstream) <= leftMs
+      estimateQueueWaitMs(state, upstream) <= leftMs
     );
   }
 
-  /** Scans the subset; used only when the sampled upstreams are overloaded. */
-  function chooseShortestStart(
-    state: NeedState<T>,
+  /** Scans the subset; used only if the sampled queue wait is too long. */
+  function chooseShortestQueue(
+    state: PoolState<T>,
     { isUsable, leftMs = Infinity }: Candidates<T>,
   ): ChoiceOutcome<T> {
     let best: T | undefined;
     let bestMs = Infinity;
     for (const upstream of state.pool.members.slice(0, state.pool.size)) {
       if (!isUsable(upstream)) continue;
-      const startMs = estimateStartMs(state, upstream);
-      if (startMs >= bestMs) continue;
+      const queueWaitMs = estimateQueueWaitMs(state, upstream);
+      if (queueWaitMs >= bestMs) continue;
       best = upstream;
-      bestMs = startMs;
+      bestMs = queueWaitMs;
     }
     if (best === undefined) return { kind: "exhausted" };
     return bestMs <= leftMs
@@ -251,7 +268,7 @@
   }
 
   function chooseByLoad(
-    state: NeedState<T>,
+    state: PoolState<T>,
     candidates: Candidates<T>,
   ): ChoiceOutcome<T> {
     const first = state.pool.pick(candidates.isUsable);
@@ -263,63 +280,73 @@
     const secondUs = sampleWaitUs(state, second);
     const upstream = secondUs < firstUs ? second : first;
     const leftMs = candidates.leftMs ?? Infinity;
-    return estimateStartMs(state, upstream) <= leftMs
+    return estimateQueueWaitMs(state, upstream) <= leftMs
       ? { kind: "chosen", upstream, by: "load" }
-      : chooseShortestStart(state, candidates);
+      : chooseShortestQueue(state, candidates);
   }
 
   function recordReport(
     upstreamId: string,
     report: loadEstimate.LoadReport,
   ): void {
-    const entry = known.get(upstreamId);
-    if (entry === undefined) return;
-    loadEstimate.recordReport(getLoad(entry), report, readTimes());
-    steps.record(entry.upstream.group, report.stepUs);
-    const state = needs.get(entry.need);
+    const tracked = upstreams.get(upstreamId);
+    if (tracked === undefined) return;
+    loadEstimate.recordReport(
+      getOrCreateLoad(tracked),
+      report,
+      readLoadOptions(),
+    );
+    steps.record(tracked.upstream.group, report.stepUs);
+    const state = pools.get(tracked.poolName);
     if (state === undefined) return;
     const total = report.running + report.queued;
-    state.meanReported += meanWeight * (total - state.meanReported);
+    state.meanReported += averageWeight * (total - state.meanReported);
   }
 
-  function removeMissing(need: string, kept: ReadonlySet<string>): void {
-    for (const { id, group } of needs.get(need)?.pool.members ?? []) {
-      if (kept.has(id) || known.get(id)?.need !== need) continue;
-      known.delete(id);
+  function removeDepartedMembers(
+    poolName: string,
+    keptIds: ReadonlySet<string>,
+  ): void {
+    for (const { id, group } of pools.get(poolName)?.pool.members ?? []) {
+      if (keptIds.has(id) || upstreams.get(id)?.poolName !== poolName) continue;
+      upstreams.delete(id);
       steps.remove(group);
     }
   }
 
   return {
-    setPool(need, members) {
-      removeMissing(need, new Set(members.map((member) => member.id)));
+    setPool(poolName, members) {
+      removeDepartedMembers(
+        poolName,
+        new Set(members.map((member) => member.id)),
+      );
       for (const upstream of members) {
-        const load = known.get(upstream.id)?.load;
-        known.set(upstream.id, { upstream, need, load });
+        const load = upstreams.get(upstream.id)?.load;
+        upstreams.set(upstream.id, { upstream, poolName, load });
       }
       if (members.length === 0) {
-        needs.delete(need);
+        pools.delete(poolName);
         return;
       }
       const pool = upstreamPool.createPool(
         subset.orderMembers(members, options),
         {
           random,
-          minSize: options.minSubsetSize ?? defaultMinSubset,
-          growThreshold: options.growThreshold ?? defaultWidenLoad,
-          previous: needs.get(need)?.pool,
+          minSize: options.minSubsetSize ?? defaultMinSubsetSize,
+          growThreshold: options.growThreshold ?? defaultGrowThreshold,
+          previous: pools.get(poolName)?.pool,
         },
       );
-      const previous = needs.get(need);
-      needs.set(need, {
+      const previous = pools.get(poolName);
+      pools.set(poolName, {
         pool,
         meanReported: previous?.meanReported ?? 0,
         meanWaitUs: previous?.meanWaitUs ?? 0,
         serviceMs: previous?.serviceMs ?? 0,
       });
     },
-    choose(need, { tried, prefixKeys, leftMs }) {
-      const state = needs.get(need);
+    choose(poolName, { tried, prefixKeys, leftMs }) {
+      const state = pools.get(poolName);
       if (state === undefined) return { kind: "unserved" };
       state.pool.resize(clock.now(), (member) => isAvailable(member.id));
       const candidates = {
@@ -328,40 +355,40 @@
         isUsable: (upstream: T) =>
           !tried.has(upstream.id) && isAvailable(upstream.id),
       };
-      const preferred = choosePreferred(need, state, candidates);
+      const preferred = chooseByAffinity(poolName, state, candidates);
       return preferred === undefined
         ? chooseByLoad(state, candidates)
         : { kind: "chosen", upstream: preferred, by: "affinity" };
     },
     recordSent(upstreamId) {
-      const entry = known.get(upstreamId);
-      if (entry === undefined) return;
-      loadEstimate.recordSent(getLoad(entry), clock.now());
+      const tracked = upstreams.get(upstreamId);
+      if (tracked === undefined) return;
+      loadEstimate.recordSent(getOrCreateLoad(tracked), clock.now());
     },
     recordEnded(upstreamId, end) {
-      const entry = known.get(upstreamId);
-      if (entry === undefined) return;
+      const tracked = upstreams.get(upstreamId);
+      if (tracked === undefined) return;
       const { sentAtMs, report, prefixKeys = [] } = end;
-      const load = getLoad(entry);
+      const load = getOrCreateLoad(tracked);
       const hadQueue = load.queued > 0;
-      loadEstimate.recordEnded(load, { ...readTimes(), sentAtMs });
+      loadEstimate.recordEnded(load, { ...readLoadOptions(), sentAtMs });
       if (report !== undefined) recordReport(upstreamId, report);
       if (!end.isCompleted) return;
       hints.recordStored(upstreamId, prefixKeys);
-      const state = needs.get(entry.need);
-      // Time in a queue is no service time.
+      const state = pools.get(tracked.poolName);
+      // Time spent in a queue is not service time.
       const isMeasured = sentAtMs !== undefined && !hadQueue;
       if (state === undefined || !isMeasured) return;
-      state.serviceMs = moveMean(state.serviceMs, clock.now() - sentAtMs);
+      state.serviceMs = updateMean(state.serviceMs, clock.now() - sentAtMs);
     },
     recordReport,
     recordCacheEvent({ kind, upstreamId, keys }) {
       if (kind === "stored") hints.recordStored(upstreamId, keys);
       else hints.recordEvicted(upstreamId, keys);
     },
-    estimateLoad: readLoad,
-    listSubset(need) {
-      const pool = needs.get(need)?.pool;
+    estimateLoad: estimateUpstreamLoad,
+    listSubset(poolName) {
+      const pool = pools.get(poolName)?.pool;
       return pool?.members.slice(0, pool.size) ?? [];
     },
   };
--- a/packages/coordination/src/choice_test.ts
+++ b/packages/coordination/src/choice_test.ts
@@ -35,7 +35,7 @@
 ): Map<string, number> {
   const counts = new Map<string, number>();
   for (let index = 0; index < 400; index += 1) {
-    const outcome = chooser.choose("need", options);
+    const outcome = chooser.choose("model", options);
     if (outcome.kind !== "chosen") throw new Error(outcome.kind);
     const { id } = outcome.upstream;
     counts.set(id, (counts.get(id) ?? 0) + 1);
@@ -44,7 +44,7 @@
 }
 
 describe("the subset of a node", () => {
-  test("takes the own failure domain first, then the own region", () => {
+  test("prefers the node's failure domain, then its region", () => {
     const ordered = subset.orderMembers(createMembers(40), {
       nodeId: "n1",
       location,
@@ -56,7 +56,7 @@
     expect(distances.filter((distance) => distance === 0)).toHaveLength(10);
   });
 
-  test("differs between nodes and keeps its members when one leaves", () => {
+  test("differs between nodes and keeps its other members when one leaves", () => {
     const members = createMembers(400);
     const order = (nodeId: string, from: readonly choice.Upstream[]) =>
       subset.orderMembers(from, { nodeId, location }).slice(0, 16)
@@ -68,35 +68,35 @@
     expect(kept).toHaveLength(15);
   });
 
-  test("grows under load and shrinks after it", () => {
+  test("grows under load and shrinks when the load ends", () => {
     const { chooser, manual } = createChooser({ growThreshold: 4 });
-    chooser.setPool("need", createMembers(64));
+    chooser.setPool("model", createMembers(64));
     const sent: string[] = [];
     for (let index = 0; index < 400; index += 1) {
       manual.advance(20);
-      const outcome = chooser.choose("need", { tried: none });
+      const outcome = chooser.choose("model", { tried: none });
       if (outcome.kind !== "chosen") throw new Error(outcome.kind);
       chooser.recordSent(outcome.upstream.id);
       sent.push(outcome.upstream.id);
     }
-    expect(chooser.listSubset("need").length).toBeGreaterThanOrEqual(32);
+    expect(chooser.listSubset("model").length).toBeGreaterThanOrEqual(32);
     for (const id of sent) chooser.recordEnded(id, { isCompleted: true });
     for (let index = 0; index < 400; index += 1) {
       manual.advance(100);
-      chooser.choose("need", { tried: none });
+      chooser.choose("model", { tried: none });
     }
-    expect(chooser.listSubset("need")).toHaveLength(8);
+    expect(chooser.listSubset("model")).toHaveLength(8);
   });
 });
 
-describe("a choice by load", () => {
-  test("never takes the more loaded of two upstreams", () => {
+describe("selection by load", () => {
+  test("prefers the less loaded of two upstreams", () => {
     const { chooser } = createChooser();
-    chooser.setPool("need", createMembers(2));
+    chooser.setPool("model", createMembers(2));
     chooser.recordReport("g0/0", { running: 9, queued: 0, stepUs: 0 });
     chooser.recordReport("g0/1", { running: 2, queued: 0, stepUs: 0 });
     const counts = countChosen(chooser);
-    // The loaded one is taken only when both samples hit it.
+    // The more loaded upstream is chosen only if both samples pick it.
     expect(counts.get("g0/1")).toBeGreaterThan(counts.get("g0/0") ?? 0);
     chooser.recordSent("g0/1");
     for (let sent = 0; sent < 12; sent += 1) chooser.recordSent("g0/1");
@@ -104,9 +104,9 @@
     expect(later.get("g0/0")).toBeGreaterThan(later.get("g0/1") ?? 0);
   });
 
-  test("avoids a group whose steps are slow at the same queue", () => {
+  test("avoids a group with slow steps when queue lengths are equal", () => {
     const { chooser } = createChooser();
-    chooser.setPool("need", createMembers(8));
+    chooser.setPool("model", createMembers(8));
     for (const member of createMembers(8)) {
       const stepUs = member.group === "g0" ? 90_000 : 30_000;
       for (let report = 0; report < 5; report += 1) {
@@ -119,31 +119,31 @@
     expect(slow).toBeLessThan(400 / 3);
   });
 
-  test("skips what was tried or is unavailable, and says when none is left", () => {
+  test("skips attempted and unavailable upstreams, and reports exhaustion", () => {
     const { chooser } = createChooser({
       isAvailable: (id) => id !== "g0/1",
     });
-    expect(chooser.choose("need", { tried: none }).kind).toBe("unserved");
-    chooser.setPool("need", createMembers(3));
+    expect(chooser.choose("model", { tried: none }).kind).toBe("unserved");
+    chooser.setPool("model", createMembers(3));
     const tried = new Set(["g0/0"]);
     expect([...countChosen(chooser, { tried }).keys()]).toEqual(["g0/2"]);
     tried.add("g0/2");
-    expect(chooser.choose("need", { tried }).kind).toBe("exhausted");
+    expect(chooser.choose("model", { tried }).kind).toBe("exhausted");
   });
 
-  test("reaches beyond the subset when no member of it is available", () => {
-    const near = new Set<string>();
-    const { chooser } = createChooser({ isAvailable: (id) => !near.has(id) });
-    chooser.setPool("need", createMembers(40));
-    for (const member of chooser.listSubset("need")) near.add(member.id);
-    const reached = [...countChosen(chooser).keys()];
-    expect(reached.filter((id) => near.has(id))).toEqual([]);
-    expect(reached).toHaveLength(8);
+  test("uses upstreams outside the subset when no subset member is available", () => {
+    const subsetIds = new Set<string>();
+    const { chooser } = createChooser({ isAvailable: (id) => !subsetIds.has(id) });
+    chooser.setPool("model", createMembers(40));
+    for (const member of chooser.listSubset("model")) subsetIds.add(member.id);
+    const chosen = [...countChosen(chooser).keys()];
+    expect(chosen.filter((id) => subsetIds.has(id))).toEqual([]);
+    expect(chosen).toHaveLength(8);
   });
 
-  test("sheds a request that every upstream would start too late", () => {
+  test("refuses a request when every queue wait exceeds the time left", () => {
     const { chooser, manual } = createChooser();
-    chooser.setPool("need", createMembers(4));
+    chooser.setPool("model", createMembers(4));
     for (const { id } of createMembers(4)) {
       chooser.recordSent(id);
     }
@@ -155,10 +155,10 @@
         report: { running: 10, queued: 30, stepUs: 30_000 },
       });
     }
-    // 30 queued over 10 running, 2 s each: about 6 s until a start.
-    expect(chooser.choose("need", { tried: none, leftMs: 3_000 }))
+    // 30 queued requests, 10 running at 2 s each: the queue wait is about 6 s.
+    expect(chooser.choose("model", { tried: none, leftMs: 3_000 }))
       .toEqual({ kind: "overloaded", waitMs: expect.any(Number) });
-    expect(chooser.choose("need", { tried: none, leftMs: 9_000 }).kind)
+    expect(chooser.choose("model", { tried: none, leftMs: 9_000 }).kind)
       .toBe("chosen");
   });
 });
@@ -168,7 +168,7 @@
     scope: "drafting",
   });
 
-  test("keys stand for the whole prefix and for one scope", () => {
+  test("keys depend on the whole prefix and on the scope", () => {
     const text = "a".repeat(1_024);
     const keys = prefixAffinity.computePrefixKeys(text, { scope: "one" });
     expect(keys).toHaveLength(4);
@@ -185,10 +185,10 @@
 
   test("follows the upstream that served the prefix until it evicts it", () => {
     const { chooser } = createChooser();
-    chooser.setPool("need", createMembers(8));
+    chooser.setPool("model", createMembers(8));
     chooser.recordEnded("g1/3", { isCompleted: true, prefixKeys });
     const options = { tried: none, prefixKeys };
-    expect(chooser.choose("need", options)).toMatchObject({
+    expect(chooser.choose("model", options)).toMatchObject({
       by: "affinity",
       upstream: { id: "g1/3" },
     });
@@ -197,13 +197,13 @@
       upstreamId: "g1/3",
       keys: prefixKeys,
     });
-    const preferred = chooser.choose("need", options);
-    expect(chooser.choose("need", options)).toEqual(preferred);
+    const preferred = chooser.choose("model", options);
+    expect(chooser.choose("model", options)).toEqual(preferred);
   });
 
-  test("gives way to load beyond its bound", () => {
+  test("is ignored when the expected wait exceeds the affinity bound", () => {
     const { chooser } = createChooser();
-    chooser.setPool("need", createMembers(8));
+    chooser.setPool("model", createMembers(8));
     chooser.recordEnded("g1/3", { isCompleted: true, prefixKeys });
     for (const { id } of createMembers(8)) {
       const running = id === "g1/3" ? 20 : 4;
@@ -214,11 +214,11 @@
       .toBe(false);
   });
 
-  test("a hint for an upstream that is gone is ignored", () => {
+  test("a hint for a removed upstream is ignored", () => {
     const { chooser } = createChooser();
-    chooser.setPool("need", createMembers(8));
+    chooser.setPool("model", createMembers(8));
     chooser.recordEnded("g1/3", { isCompleted: true, prefixKeys });
-    chooser.setPool("need", createMembers(7));
+    chooser.setPool("model", createMembers(7));
     const counts = countChosen(chooser, { tried: none, prefixKeys });
     expect(counts.has("g1/3")).toBe(false);
   });
--- a/packages/coordination/src/clock.ts
+++ b/packages/coordination/src/clock.ts
@@ -1,21 +1,21 @@
 /**
- * Time as the state machines see it. All instants are milliseconds on a
- * monotonic scale whose zero is arbitrary but fixed for one process.
+ * Clock of the state machines. All timestamps are milliseconds on a monotonic
+ * scale whose zero is arbitrary but fixed for one process.
  */
 
-/** Source of the present instant. */
+/** Source of the current time. */
 export interface Clock {
-  /** Returns the present instant in milliseconds; never decreases. */
+  /** Returns the current time in milliseconds; never decreases. */
   now(): number;
 }
 
-/** Clock whose time moves only when a test advances it. */
+/** Clock that advances only when a test calls `advance`. */
 export interface ManualClock extends Clock {
-  /** Moves time forward by `durationMs` milliseconds. */
+  /** Advances the time by `durationMs` milliseconds. */
   advance(durationMs: number): void;
 }
 
-/** Creates a clock that starts at `startMs` and is advanced by hand. */
+/** Creates a manual clock that starts at `startMs`. */
 export function createManualClock(startMs = 0): ManualClock {
   let currentMs = startMs;
   return {
--- a/packages/coordination/src/dispatch/work.ts
+++ b/packages/coordination/src/dispatch/work.ts
@@ -1,31 +1,33 @@
 /**
- * What entries and their hub tell each other about requests that need a place at
- * an upstream. Messages carry whole states, not changes: any may be lost.
+ * Messages between the entries and the hub, which is the entry that assigns the
+ * slots of all upstreams. A slot is a unit of an upstream's concurrency. Every
+ * message carries the complete state instead of changes, because messages may
+ * be lost.
  */
 
-/** A request that waits for a place. */
+/** A request that waits for a slot. */
 export interface WaitingRequest {
-  /** Names the request among all of its entry. */
+  /** Unique id of the request within its entry. */
   readonly key: string;
-  /** Service that it needs. */
+  /** Name of the required service. */
   readonly pool: string;
   /** 0 is the most urgent. */
   readonly priority: number;
   readonly workspace: string;
   readonly promptTokens: number;
-  /** Expected length of the answer. */
+  /** Expected number of tokens in the answer. */
   readonly answerTokens: number;
-  /** Time since its arrival at the entry, in milliseconds. */
+  /** Time since the request's arrival at the entry, in milliseconds. */
   readonly ageMs: number;
-  /** Time left until the caller aims to have the first event. */
+  /** Time left until the target time of the first event, in milliseconds. */
   readonly aimLeftMs: number;
-  /** Time left until the request is given up. */
+  /** Time left until the request is abandoned, in milliseconds. */
   readonly leftMs: number;
-  /** Upstreams that must not get it. */
+  /** Ids of upstreams that must not be granted to the request. */
   readonly avoided: readonly string[];
 }
 
-/** A request that occupies a place. */
+/** A request that occupies a slot. */
 export interface RunningRequest {
   readonly key: string;
   readonly upstreamId: string;
@@ -33,19 +35,19 @@
   readonly promptTokens: number;
 }
 
-/** How long passes of a pool took lately, as its streams showed. */
+/** Recent duration of a pool's forward passes, measured on its streams. */
 export interface PassTime {
   readonly pool: string;
-  /** Median pause between events of the entry's streams, in milliseconds. */
+  /** Median gap between events of the entry's streams, in milliseconds. */
   readonly passMs: number;
 }
 
-/** All work of one entry. */
+/** All waiting and running requests of one entry. */
 export interface WorkState {
   readonly entryId: string;
   /** Failure domain of the entry. */
   readonly failureDomain: string;
-  /** Rises with each state of one incarnation of the entry. */
+  /** Increases with each state of one incarnation of the entry. */
   readonly sequence: number;
   readonly waiting: readonly WaitingRequest[];
   readonly running: readonly RunningRequest[];
@@ -57,34 +59,34 @@
   readonly upstreamId: string;
 }
 
-/** A request that gets no place in time; it did not run. */
+/** Refusal of a request that would not get a slot in time; it did not run. */
 export interface Denial {
   readonly key: string;
   readonly retryAfterMs: number;
 }
 
-/** Answer of the hub to the latest state of one entry. */
+/** The hub's answer to the latest state of one entry. */
 export interface Decisions {
-  /** Sequence number of the state that was answered. */
+  /** Sequence number of the state that this answers. */
   readonly sequence: number;
   readonly grants: readonly Grant[];
   readonly denials: readonly Denial[];
 }
 
-/** Upstreams that advance in passes of one length. */
+/** A set of upstreams whose forward passes have equal duration. */
 export interface PoolSpec {
   readonly pool: string;
-  /** Time of a pass without requests, in milliseconds. */
+  /** Duration of a forward pass without requests, in milliseconds. */
   readonly basePassMs: number;
-  /** Longest pass at which streams are still on time. */
+  /** Maximum pass duration at which streams meet their latency target. */
   readonly targetPassMs: number;
 }
 
-/** An upstream with places. */
+/** Capacity and location of an upstream. */
 export interface UpstreamSpec {
   readonly id: string;
   readonly pool: string;
   readonly failureDomain: string;
-  /** Requests that it works on at once. */
+  /** Number of requests that it processes concurrently. */
   readonly slots: number;
 }
--- a/packages/coordination/src/dispatch/work_client.ts
+++ b/packages/coordination/src/dispatch/work_client.ts
@@ -1,7 +1,8 @@
 /**
- * The entry's side of the hub: what it asks for, what it runs, and what it
- * decides itself while no hub answers. Without a hub an entry uses an equal
- * share of the places, so that all entries together don't exceed them.
+ * Client of the hub at one entry: tracks the requests that wait for a slot or
+ * occupy one, reports them to the hub and applies its decisions. While no hub
+ * answers, the entry decides itself and uses an equal share of the slots, so
+ * that all entries together do not exceed the number of slots.
  */
 import type * as clock from "../clock.ts";
 import type * as random from "../random.ts";
@@ -12,22 +13,23 @@
   readonly random: random.RandomSource;
   readonly entryId: string;
   readonly failureDomain: string;
-  /** Entries that share the places, this one included. */
+  /** Returns the number of entries that share the slots, including this one. */
   readonly countEntries: () => number;
   /**
-   * Time after which a hub that has not answered is done without, in
-   * milliseconds; three round trips and the time to send again.
+   * Time without an answer after which the entry decides without the hub, in
+   * milliseconds. It covers three round trips and the interval until the state
+   * is sent again.
    * @default 80
    */
   readonly hubTimeoutMs?: number;
   /**
-   * Longest wait for a place, in milliseconds.
+   * Maximum wait for a slot, in milliseconds.
    * @default 1500
    */
   readonly maxWaitMs?: number;
 }
 
-/** What a request asks for; times are left, not instants. */
+/** Slot request; its times are durations left, not timestamps. */
 export type SlotRequest = Omit<work.WaitingRequest, "ageMs">;
 
 export type WorkEvent =
@@ -45,171 +47,173 @@
   };
 
 export interface WorkClient {
-  setUpstreams(places: readonly work.UpstreamSpec[]): void;
-  /** Asks for a place; an event follows unless the request is dropped. */
-  requestSlot(asked: SlotRequest): void;
-  /** Notes that a request occupies a place. */
-  recordStart(running: work.RunningRequest): void;
-  /** Records a pause between two events of a stream. */
-  recordPause(pool: string, pauseMs: number): void;
-  /** Drops a request, whether it waits or runs. */
+  setUpstreams(upstreams: readonly work.UpstreamSpec[]): void;
+  /** Requests a slot; an event follows unless the request is dropped. */
+  requestSlot(request: SlotRequest): void;
+  /** Records that a request occupies a slot. */
+  recordStart(request: work.RunningRequest): void;
+  /** Records a gap between two events of a stream. */
+  recordPause(pool: string, gapMs: number): void;
+  /** Removes a waiting or running request. */
   drop(key: string): void;
-  /** Builds the state for the hub; each call raises its sequence number. */
+  /** Builds the state for the hub; each call increments its sequence number. */
   buildState(): work.WorkState;
-  /** Takes the hub's answer. */
+  /** Applies the hub's answer. */
   receive(decisions: work.Decisions): readonly WorkEvent[];
-  /** Decides what no hub has answered in time. */
+  /** Decides on requests that no hub has answered in time. */
   tick(): readonly WorkEvent[];
   hasWaiting(): boolean;
 }
 
-interface Waiting {
-  readonly asked: SlotRequest;
-  readonly askedAtMs: number;
-  /** First state that told the hub of it; undefined before. */
+interface PendingRequest {
+  readonly request: SlotRequest;
+  readonly requestedAtMs: number;
+  /** Sequence of the first state with this request; undefined before. */
   firstSequence: number | undefined;
-  isKnownToHub: boolean;
+  isReceivedByHub: boolean;
 }
 
-const defaultHubPatienceMs = 80;
+const defaultHubTimeoutMs = 80;
 const defaultMaxWaitMs = 1_500;
-const shareRetryMs = 300;
-/** Pauses of which the median counts. */
-const minPauses = 3;
+const minShareRetryMs = 300;
+/** Minimum number of gaps for a median. */
+const minGaps = 3;
 
-/** Creates the side of one entry. */
+/** Creates the client of one entry. */
 export function createWorkClient(options: WorkClientOptions): WorkClient {
   const { clock } = options;
-  const hubPatienceMs = options.hubTimeoutMs ?? defaultHubPatienceMs;
+  const hubTimeoutMs = options.hubTimeoutMs ?? defaultHubTimeoutMs;
   const maxWaitMs = options.maxWaitMs ?? defaultMaxWaitMs;
-  const waiting = new Map<string, Waiting>();
+  const pending = new Map<string, PendingRequest>();
   const running = new Map<string, work.RunningRequest>();
-  /** Pauses of streams since the last state, by pool. */
-  const pauses = new Map<string, number[]>();
-  let places: readonly work.UpstreamSpec[] = [];
+  /** Gaps between stream events that no state has reported yet, by pool. */
+  const gapsByPool = new Map<string, number[]>();
+  let upstreams: readonly work.UpstreamSpec[] = [];
   let sequence = 0;
   let answeredAtMs = -Infinity;
 
-  function countRunning(pool: string): number {
+  function countUsed(pool: string): number {
     const ids = new Set(
-      places.filter((place) => place.pool === pool).map(({ id }) => id),
+      upstreams.filter((upstream) => upstream.pool === pool).map(({ id }) =>
+        id
+      ),
     );
     return [...running.values()]
       .filter(({ upstreamId }) => ids.has(upstreamId)).length;
   }
 
-  /** Places of a pool that this entry may take without a hub. */
+  /** Computes the slots of a pool that this entry may use without a hub. */
   function computeShare(pool: string): number {
-    const slots = places.filter((place) => place.pool === pool)
-      .reduce((sum, place) => sum + place.slots, 0);
+    const slots = upstreams.filter((upstream) => upstream.pool === pool)
+      .reduce((sum, upstream) => sum + upstream.slots, 0);
     return Math.max(1, Math.floor(slots / Math.max(1, options.countEntries())));
   }
 
-  /** The upstream at which this entry has least work. */
-  function choosePlace(asked: SlotRequest): work.UpstreamSpec | undefined {
-    const usable = places.filter((place) =>
-      place.pool === asked.pool && !asked.avoided.includes(place.id)
+  /** Chooses the upstream with the fewest running requests of this entry. */
+  function chooseUpstream(request: SlotRequest): work.UpstreamSpec | undefined {
+    const candidates = upstreams.filter((upstream) =>
+      upstream.pool === request.pool && !request.avoided.includes(upstream.id)
     );
     let best: work.UpstreamSpec | undefined;
     let bestLoad = Infinity;
-    for (const place of usable) {
-      const own = [...running.values()]
-        .filter(({ upstreamId }) => upstreamId === place.id).length;
-      const load = own + options.random();
+    for (const upstream of candidates) {
+      const ownLoad = [...running.values()]
+        .filter(({ upstreamId }) => upstreamId === upstream.id).length;
+      const load = ownLoad + options.random();
       if (load >= bestLoad) continue;
-      best = place;
+      best = upstream;
       bestLoad = load;
     }
     return best;
   }
 
-  function takeShare(
+  function grantFromShare(
     key: string,
-    { asked }: Waiting,
+    { request }: PendingRequest,
   ): WorkEvent | undefined {
-    if (countRunning(asked.pool) >= computeShare(asked.pool)) return undefined;
-    const place = choosePlace(asked);
-    if (place === undefined) return undefined;
-    waiting.delete(key);
-    const { workspace, promptTokens } = asked;
-    const upstreamId = place.id;
-    // It counts from now on: others of the same tick must see it.
+    if (countUsed(request.pool) >= computeShare(request.pool)) return undefined;
+    const upstream = chooseUpstream(request);
+    if (upstream === undefined) return undefined;
+    pending.delete(key);
+    const { workspace, promptTokens } = request;
+    const upstreamId = upstream.id;
+    // Counted at once, so that later requests of this tick include it.
     running.set(key, { key, upstreamId, workspace, promptTokens });
     return { kind: "granted", key, upstreamId, by: "share" };
   }
 
-  function decideAlone(
+  function decideWithoutHub(
     key: string,
-    found: Waiting,
+    waiting: PendingRequest,
   ): WorkEvent | undefined {
     const nowMs = clock.now();
-    const waitedMs = nowMs - found.askedAtMs;
-    const isHubSilent = nowMs - answeredAtMs >= hubPatienceMs;
-    const isAlone = isHubSilent || !found.isKnownToHub;
-    if (isAlone && waitedMs >= hubPatienceMs) {
-      const event = takeShare(key, found);
+    const ageMs = nowMs - waiting.requestedAtMs;
+    const hasHubTimedOut = nowMs - answeredAtMs >= hubTimeoutMs;
+    const isWithoutHub = hasHubTimedOut || !waiting.isReceivedByHub;
+    if (isWithoutHub && ageMs >= hubTimeoutMs) {
+      const event = grantFromShare(key, waiting);
       if (event !== undefined) return event;
     }
-    if (waitedMs < Math.min(maxWaitMs, found.asked.leftMs)) return undefined;
-    waiting.delete(key);
-    const retryAfterMs = Math.round(shareRetryMs * (1 + options.random()));
+    if (ageMs < Math.min(maxWaitMs, waiting.request.leftMs)) return undefined;
+    pending.delete(key);
+    const retryAfterMs = Math.round(minShareRetryMs * (1 + options.random()));
     return { kind: "denied", key, retryAfterMs, by: "share" };
   }
 
-  /** Returns the median of each pool that has enough pauses, and forgets them. */
-  function takePasses(): readonly work.PassTime[] {
+  /** Returns the median gap of each pool with enough gaps, and clears them. */
+  function takePassTimes(): readonly work.PassTime[] {
     const passes: work.PassTime[] = [];
-    for (const [pool, found] of pauses) {
-      if (found.length < minPauses) continue;
-      found.sort((a, b) => a - b);
-      passes.push({ pool, passMs: found[Math.floor(found.length / 2)]! });
-      pauses.delete(pool);
+    for (const [pool, gaps] of gapsByPool) {
+      if (gaps.length < minGaps) continue;
+      gaps.sort((a, b) => a - b);
+      passes.push({ pool, passMs: gaps[Math.floor(gaps.length / 2)]! });
+      gapsByPool.delete(pool);
     }
     return passes;
   }
 
   return {
-    setUpstreams(next) {
-      places = next;
+    setUpstreams(newUpstreams) {
+      upstreams = newUpstreams;
     },
-    requestSlot(asked) {
-      waiting.set(asked.key, {
-        asked,
-        askedAtMs: clock.now(),
+    requestSlot(request) {
+      pending.set(request.key, {
+        request,
+        requestedAtMs: clock.now(),
         firstSequence: undefined,
-        isKnownToHub: false,
+        isReceivedByHub: false,
       });
     },
-    recordStart(work) {
-      waiting.delete(work.key);
-      running.set(work.key, work);
+    recordStart(request) {
+      pending.delete(request.key);
+      running.set(request.key, request);
     },
-    recordPause(pool, pauseMs) {
-      const known = pauses.get(pool) ?? [];
-      known.push(pauseMs);
-      pauses.set(pool, known);
+    recordPause(pool, gapMs) {
+      const gaps = gapsByPool.get(pool) ?? [];
+      gaps.push(gapMs);
+      gapsByPool.set(pool, gaps);
     },
     drop(key) {
-      waiting.delete(key);
+      pending.delete(key);
       running.delete(key);
     },
     buildState() {
       sequence += 1;
       const nowMs = clock.now();
-      for (const found of waiting.values()) found.firstSequence ??= sequence;
+      for (const item of pending.values()) item.firstSequence ??= sequence;
       return {
         entryId: options.entryId,
         failureDomain: options.failureDomain,
         sequence,
         running: [...running.values()],
-        passes: takePasses(),
-        waiting: [...waiting.values()].map(({ asked, askedAtMs }) => {
-          const ageMs = Math.round(nowMs - askedAtMs);
+        passes: takePassTimes(),
+        waiting: [...pending.values()].map(({ request, requestedAtMs }) => {
+          const ageMs = Math.round(nowMs - requestedAtMs);
           return {
-            ...asked,
+            ...request,
             ageMs,
-            aimLeftMs: asked.aimLeftMs - ageMs,
-            leftMs: asked.leftMs - ageMs,
+            aimLeftMs: request.aimLeftMs - ageMs,
+            leftMs: request.leftMs - ageMs,
           };
         }),
       };
@@ -217,22 +221,24 @@
     receive(decisions) {
       const events: WorkEvent[] = [];
       answeredAtMs = clock.now();
-      for (const found of waiting.values()) {
-        const { firstSequence = Infinity } = found;
-        if (firstSequence <= decisions.sequence) found.isKnownToHub = true;
+      for (const waiting of pending.values()) {
+        const { firstSequence = Infinity } = waiting;
+        if (firstSequence <= decisions.sequence) waiting.isReceivedByHub = true;
       }
       for (const { key, upstreamId } of decisions.grants) {
-        if (!waiting.delete(key)) continue;
+        if (!pending.delete(key)) continue;
         events.push({ kind: "granted", key, upstreamId, by: "hub" });
       }
       for (const { key, retryAfterMs } of decisions.denials) {
-        if (!waiting.delete(key)) continue;
+        if (!pending.delete(key)) continue;
         events.push({ kind: "denied", key, retryAfterMs, by: "hub" });
       }
       return events;
     },
     tick: () =>
-      [...waiting].flatMap(([key, found]) => decideAlone(key, found) ?? []),
-    hasWaiting: () => waiting.size > 0,
+      [...pending].flatMap(([key, waiting]) =>
+        decideWithoutHub(key, waiting) ?? []
+      ),
+    hasWaiting: () => pending.size > 0,
   };
 }
--- a/packages/coordination/src/dispatch/work_client_test.ts
+++ b/packages/coordination/src/dispatch/work_client_test.ts
@@ -17,7 +17,7 @@
     { id: "u1", pool: "p", failureDomain: "a", slots },
     { id: "u2", pool: "p", failureDomain: "b", slots },
   ]);
-  function ask(
+  function requestSlot(
     key: string,
     options: Partial<workClient.SlotRequest> = {},
   ): void {
@@ -34,7 +34,7 @@
       ...options,
     });
   }
-  return { client, manual, ask };
+  return { client, manual, requestSlot };
 }
 
 function createDecisions(
@@ -44,9 +44,9 @@
   return { sequence, grants: [], denials: [], ...options };
 }
 
-test("tells the hub of all that waits, with its age and what is left", () => {
-  const { client, manual, ask } = createSetup();
-  ask("k1");
+test("reports waiting requests with their age and the time left", () => {
+  const { client, manual, requestSlot } = createSetup();
+  requestSlot("k1");
   manual.advance(50);
   expect(client.buildState()).toMatchObject({
     entryId: "e1",
@@ -56,10 +56,10 @@
   });
 });
 
-test("takes each decision of the hub once", () => {
-  const { client, ask } = createSetup();
-  ask("k1");
-  ask("k2");
+test("applies each decision of the hub once", () => {
+  const { client, requestSlot } = createSetup();
+  requestSlot("k1");
+  requestSlot("k2");
   client.buildState();
   const decisions = createDecisions(1, {
     grants: [{ key: "k1", upstreamId: "u1" }],
@@ -69,14 +69,14 @@
     { kind: "granted", key: "k1", upstreamId: "u1", by: "hub" },
     { kind: "denied", key: "k2", retryAfterMs: 400, by: "hub" },
   ]);
-  // Decisions are repeated until a state shows that they arrived.
+  // The hub repeats decisions until a state acknowledges them.
   expect(client.receive(decisions)).toEqual([]);
   expect(client.hasWaiting()).toBe(false);
 });
 
-test("waits for a hub that answers, however long that takes", () => {
-  const { client, manual, ask } = createSetup();
-  ask("k1");
+test("decides nothing itself while the hub keeps answering", () => {
+  const { client, manual, requestSlot } = createSetup();
+  requestSlot("k1");
   for (let spentMs = 0; spentMs < 1_000; spentMs += 50) {
     client.receive(createDecisions(client.buildState().sequence));
     manual.advance(50);
@@ -84,16 +84,16 @@
   }
 });
 
-test("uses its share of the places, and no more, without a hub", () => {
-  const { client, manual, ask } = createSetup({ entries: 2 });
-  for (let nth = 0; nth < 6; nth += 1) ask(`k${nth}`);
+test("uses at most its share of the slots without a hub", () => {
+  const { client, manual, requestSlot } = createSetup({ entries: 2 });
+  for (let nth = 0; nth < 6; nth += 1) requestSlot(`k${nth}`);
   manual.advance(79);
   expect(client.tick()).toEqual([]);
   manual.advance(1);
   const granted = client.tick().flatMap((event) =>
     event.kind === "granted" ? [`${event.upstreamId} by ${event.by}`] : []
   );
-  // The share of one entry of two: half of the eight places, in one tick.
+  // One of two entries: half of the eight slots, granted in one tick.
   expect(granted.sort()).toEqual([
     "u1 by share",
     "u1 by share",
@@ -105,16 +105,16 @@
   expect(client.tick()).toHaveLength(1);
 });
 
-test("refuses what got no place in time, with a time to come back", () => {
-  const { client, manual, ask } = createSetup({ entries: 100 });
+test("refuses requests that get no slot in time, with a retry delay", () => {
+  const { client, manual, requestSlot } = createSetup({ entries: 100 });
   client.recordStart({
     key: "r",
     upstreamId: "u1",
     workspace: "w",
     promptTokens: 1,
   });
-  ask("short", { leftMs: 200 });
-  ask("long");
+  requestSlot("short", { leftMs: 200 });
+  requestSlot("long");
   manual.advance(200);
   expect(client.tick()).toEqual([
     { kind: "denied", key: "short", retryAfterMs: 450, by: "share" },
@@ -123,9 +123,9 @@
   expect(client.tick()).toMatchObject([{ kind: "denied", key: "long" }]);
 });
 
-test("a request that left asks for nothing and frees its place", () => {
-  const { client, ask } = createSetup();
-  ask("k1");
+test("a dropped request is no longer reported and frees its slot", () => {
+  const { client, requestSlot } = createSetup();
+  requestSlot("k1");
   client.recordStart({
     key: "r",
     upstreamId: "u1",
@@ -137,7 +137,7 @@
   expect(client.buildState()).toMatchObject({ waiting: [], running: [] });
 });
 
-test("tells the median pause of a pool once there are three", () => {
+test("reports the median gap of a pool after three gaps", () => {
   const { client } = createSetup();
   client.recordPause("p", 90);
   client.recordPause("p", 40);
--- a/packages/coordination/src/dispatch/work_hub.ts
+++ b/packages/coordination/src/dispatch/work_hub.ts
@@ -1,20 +1,21 @@
 /**
- * The hub's decisions: which waiting request gets which place, and which one is
- * refused. One queue over all entries, so that no entry sends to a rank that
- * another one has just filled, and a refusal means that no place is free.
+ * Scheduler of the hub: grants upstream slots to waiting requests, or refuses
+ * the requests. One queue covers all entries, so that no entry dispatches to a rank that
+ * another entry has just filled, and a refusal means that no slot is free.
  *
- * - Places of a pool are the slots of its upstreams. Requests beyond them wait
- *   here and not at an upstream, where they could not be ordered.
- * - The pool as a whole takes no more than what keeps a pass under its target,
- *   by the longest pass that each request lately cost: all streams of a group
- *   pause for its passes, so one request too many makes all of them late.
- * - Requests that can still meet their aim go before those that can't; within
- *   that by priority, then by the workspace that has the fewest places, then by
- *   age.
- * - A request is refused at once when its predicted wait is over a bound. It is
- *   told when a place is expected, spread so that returns don't come together.
+ * - A slot is a unit of an upstream's concurrency. Requests beyond the slots of
+ *   a pool wait at the hub and not at an upstream, where they could not be
+ *   ordered.
+ * - The number of running requests in a pool is limited, so that a forward pass
+ *   stays below its target duration. The limit is computed from the highest
+ *   recent cost per request. All streams of a group wait for its passes, so a
+ *   single excess request makes all of them late.
+ * - Requests that can still meet their target time precede those that cannot,
+ *   then follow priority, the workspace with the fewest slots, and age.
+ * - A request is refused at once if its predicted wait exceeds a bound. The
+ *   retry delay is the predicted wait plus jitter, so that retries are spread.
  *
- * It answers for bursts and storms of repeats: 1.5 to 5 times the capacity.
+ * Designed for bursts and retry storms of 1.5 to 5 times the capacity.
  */
 import type * as clock from "../clock.ts";
 import type * as random from "../random.ts";
@@ -24,13 +25,14 @@
   readonly clock: clock.Clock;
   readonly random: random.RandomSource;
   /**
-   * Longest predicted wait for a place, in milliseconds. Callers leave a stream
-   * after 2 s without an event, and the first one takes some 200 ms.
+   * Maximum wait for a slot, elapsed and predicted, in milliseconds. Callers
+   * abandon a stream after 2 s without an event, and the first event takes
+   * about 200 ms.
    * @default 1200
    */
   readonly maxWaitMs?: number;
   /**
-   * Time for which an entry's last state holds, in milliseconds.
+   * Time after which an entry without a new state is removed, in milliseconds.
    * @default 1500
    */
   readonly stateTtlMs?: number;
@@ -38,17 +40,17 @@
 
 export interface WorkHub {
   setUpstreams(
-    places: readonly work.UpstreamSpec[],
+    upstreams: readonly work.UpstreamSpec[],
     specs?: readonly work.PoolSpec[],
   ): void;
   /**
-   * Takes an entry's state; returns what is decided for it and for others whose
-   * requests got a place or a refusal now, by entry id.
+   * Applies an entry's state. Returns the decisions for this entry and for each
+   * other entry with a new grant or refusal, by entry id.
    */
   receive(state: work.WorkState): ReadonlyMap<string, work.Decisions>;
-  /** Decides again, for example because places were added. */
+  /** Decides again, for example after slots were added. */
   decide(): ReadonlyMap<string, work.Decisions>;
-  /** Requests that wait and places that are taken, by pool. */
+  /** Returns the waiting requests and used slots of each pool. */
   describe(): readonly PoolLoad[];
 }
 
@@ -57,424 +59,431 @@
   readonly waiting: number;
   readonly taken: number;
   readonly slots: number;
-  /** Requests that the pool takes at once. */
+  /** Maximum number of running requests. */
   readonly limit: number;
-  /** Places that become free in a second. */
+  /** Slots that become free per second. */
   readonly freedPerSecond: number;
-  /** Length of the last pass that an entry saw, in milliseconds; 0 = none. */
+  /** Duration of the last reported pass, in milliseconds; 0 if none. */
   readonly passMs: number;
 }
 
-interface Waiting extends work.WaitingRequest {
+interface QueuedRequest extends work.WaitingRequest {
   readonly entryId: string;
   readonly arrivedAtMs: number;
   readonly aimAtMs: number;
   readonly giveUpAtMs: number;
 }
 
-interface Entry {
+interface EntryState {
   state: work.WorkState;
   receivedAtMs: number;
-  /** Grants that the entry's states don't show yet, by key. */
-  readonly granted: Map<string, Granted>;
-  readonly waiting: Map<string, Waiting>;
-  /** Decisions not yet handed out. */
+  /** Grants that the entry has not acknowledged yet, by request key. */
+  readonly pendingGrants: Map<string, PendingGrant>;
+  readonly queued: Map<string, QueuedRequest>;
+  /** Refusals that the entry has not acknowledged yet, by request key. */
   readonly denials: Map<string, work.Denial>;
 }
 
-interface Granted {
+interface PendingGrant {
   readonly grant: work.Grant;
-  readonly waiting: Waiting;
-  /** First state that must show it, if it arrived. */
-  readonly sinceSequence: number;
-  readonly atMs: number;
+  readonly request: QueuedRequest;
+  /** Sequence of the first state that can acknowledge the grant. */
+  readonly firstSequence: number;
+  readonly grantedAtMs: number;
 }
 
-interface Pool {
-  readonly places: work.UpstreamSpec[];
+interface PoolState {
+  readonly upstreams: work.UpstreamSpec[];
   readonly spec: work.PoolSpec | undefined;
-  /** Part of a pass that one request cost at worst, and when it was seen. */
-  worstCostMs: number;
-  worstAtMs: number;
-  /** Since when all passes that were told of were too long. */
-  longSinceMs: number | undefined;
-  /** Length of the pass that was told of last; 0 = none yet. */
+  /** Highest recent pass duration per request, and when it was measured. */
+  maxCostMs: number;
+  maxCostAtMs: number;
+  /** Time since which all reported passes were too long. */
+  longPassesSinceMs: number | undefined;
+  /** Duration of the last reported pass; 0 if none. */
   lastPassMs: number;
-  /** Moving rate at which places become free. */
+  /** Moving average of the rate at which slots become free. */
   freedPerSecond: number;
-  freed: number;
-  measuredAtMs: number;
+  freedSlots: number;
+  rateUpdatedAtMs: number;
 }
 
 const defaultMaxWaitMs = 1_200;
-const defaultStateMs = 1_500;
-/** Time after which a grant that no state shows counts as lost. */
-const grantLifeMs = 400;
+const defaultStateTtlMs = 1_500;
+/** Time after which an unacknowledged grant is assumed lost. */
+const grantTimeoutMs = 400;
 const rateIntervalMs = 500;
 const rateWeight = 0.3;
-/** Time after which half of the worst cost is believed; demand may shift again. */
+/** Half-life of the highest cost, because demand may shift again. */
 const costHalfLifeMs = 10_000;
-/** Part of the slots below which the cost of one request can't be told. */
-const minMeasuredShare = 0.2;
-/** Part of the slots that is used at least. */
+/** Share of used slots below which the cost per request cannot be measured. */
+const minSampleShare = 0.2;
+/** Minimum limit of a pool, as a share of its slots. */
 const minLimitShare = 0.65;
-/** Passes over the target by this factor may have waited for a switch. */
+/** Passes over the target by this factor may include a switch round's wait. */
 const maxPassOverTarget = 1.25;
-/** Time after which such passes are long by themselves: a rank is slow. */
+/** Time after which such passes are attributed to a slow rank. */
 const longPassesMs = 1_000;
 const millisecondsPerSecond = 1_000;
 const minRetryMs = 100;
 const maxRetryMs = 2_500;
-/** Part by which times to come back are spread. */
-const retrySpread = 0.5;
-/** Tokens of a prompt that weigh as much as one more request at a rank. */
+/** Maximum jitter of a retry delay, as a share of it. */
+const retryJitterShare = 0.5;
+/** Number of prompt tokens that load a rank as much as one request. */
 const tokensPerRequest = 2_000;
 
-/** Creates a hub without places. */
+/** Creates a hub without upstreams. */
 export function createWorkHub(options: WorkHubOptions): WorkHub {
   const { clock } = options;
   const maxWaitMs = options.maxWaitMs ?? defaultMaxWaitMs;
-  const stateMs = options.stateTtlMs ?? defaultStateMs;
-  const entries = new Map<string, Entry>();
-  const pools = new Map<string, Pool>();
-  const placeById = new Map<string, work.UpstreamSpec>();
-  /** Requests and prompt tokens at each upstream. */
-  const taken = new Map<string, { requests: number; tokens: number }>();
-
-  function dropSilent(): void {
-    const leastMs = clock.now() - stateMs;
+  const stateTtlMs = options.stateTtlMs ?? defaultStateTtlMs;
+  const entries = new Map<string, EntryState>();
+  const pools = new Map<string, PoolState>();
+  const upstreamById = new Map<string, work.UpstreamSpec>();
+  /** Number of requests and prompt tokens at each upstream. */
+  const usage = new Map<string, { requests: number; tokens: number }>();
+
+  function removeExpiredEntries(): void {
+    const oldestMs = clock.now() - stateTtlMs;
     for (const [id, entry] of entries) {
-      if (entry.receivedAtMs < leastMs) entries.delete(id);
+      if (entry.receivedAtMs < oldestMs) entries.delete(id);
     }
   }
 
-  function countTaken(): void {
-    taken.clear();
+  function updateUsage(): void {
+    usage.clear();
     const add = (upstreamId: string, tokens: number) => {
-      const known = taken.get(upstreamId) ?? { requests: 0, tokens: 0 };
-      known.requests += 1;
-      known.tokens += tokens;
-      taken.set(upstreamId, known);
+      const load = usage.get(upstreamId) ?? { requests: 0, tokens: 0 };
+      load.requests += 1;
+      load.tokens += tokens;
+      usage.set(upstreamId, load);
     };
-    for (const { state, granted } of entries.values()) {
+    for (const { state, pendingGrants } of entries.values()) {
       for (const running of state.running) {
         add(running.upstreamId, running.promptTokens);
       }
-      for (const { grant, waiting } of granted.values()) {
-        add(grant.upstreamId, waiting.promptTokens);
+      for (const { grant, request } of pendingGrants.values()) {
+        add(grant.upstreamId, request.promptTokens);
       }
     }
   }
 
-  function countFree(place: work.UpstreamSpec): number {
-    return place.slots - (taken.get(place.id)?.requests ?? 0);
+  function countFreeSlots(upstream: work.UpstreamSpec): number {
+    return upstream.slots - (usage.get(upstream.id)?.requests ?? 0);
   }
 
-  function countSlots(pool: Pool): number {
-    return pool.places.reduce((sum, { slots }) => sum + slots, 0);
+  function countSlots(pool: PoolState): number {
+    return pool.upstreams.reduce((sum, { slots }) => sum + slots, 0);
   }
 
-  function countTakenOfPool(pool: Pool): number {
-    return pool.places.reduce(
-      (sum, { id }) => sum + (taken.get(id)?.requests ?? 0),
+  function countUsedSlots(pool: PoolState): number {
+    return pool.upstreams.reduce(
+      (sum, { id }) => sum + (usage.get(id)?.requests ?? 0),
       0,
     );
   }
 
-  function readCost(pool: Pool): number {
-    const ageMs = clock.now() - pool.worstAtMs;
-    return pool.worstCostMs * 2 ** (-ageMs / costHalfLifeMs);
+  function computeMaxCost(pool: PoolState): number {
+    const ageMs = clock.now() - pool.maxCostAtMs;
+    return pool.maxCostMs * 2 ** (-ageMs / costHalfLifeMs);
   }
 
-  /** Whether a pass says what requests cost, and not what it waited for. */
-  function isTelling(pool: Pool, { passMs, spec }: {
+  /** Returns whether a pass reflects request cost rather than a wait. */
+  function isCostSample(pool: PoolState, { passMs, spec }: {
     readonly passMs: number;
     readonly spec: work.PoolSpec;
   }): boolean {
     if (passMs <= maxPassOverTarget * spec.targetPassMs) {
-      pool.longSinceMs = undefined;
+      pool.longPassesSinceMs = undefined;
       return true;
     }
-    pool.longSinceMs ??= clock.now();
-    return clock.now() - pool.longSinceMs >= longPassesMs;
+    pool.longPassesSinceMs ??= clock.now();
+    return clock.now() - pool.longPassesSinceMs >= longPassesMs;
   }
 
-  /** Learns from a pass what one request costs at worst. */
+  /** Updates the highest cost per request from a reported pass. */
   function recordPass({ pool: name, passMs }: work.PassTime): void {
     const pool = pools.get(name);
     const spec = pool?.spec;
     if (pool === undefined || spec === undefined) return;
     pool.lastPassMs = passMs;
-    if (!isTelling(pool, { passMs, spec })) return;
-    const running = countTakenOfPool(pool);
-    if (running < minMeasuredShare * countSlots(pool)) return;
-    // A higher cost would not lower the limit, only make it last.
-    const highest = (spec.targetPassMs - spec.basePassMs) /
+    if (!isCostSample(pool, { passMs, spec })) return;
+    const running = countUsedSlots(pool);
+    if (running < minSampleShare * countSlots(pool)) return;
+    // A higher cost would not lower the limit, but only prolong it.
+    const costCap = (spec.targetPassMs - spec.basePassMs) /
       (minLimitShare * countSlots(pool));
-    const found = Math.max(0, passMs - spec.basePassMs) / running;
-    const cost = Math.min(highest, found);
-    if (cost <= readCost(pool)) return;
-    pool.worstCostMs = cost;
-    pool.worstAtMs = clock.now();
+    const measured = Math.max(0, passMs - spec.basePassMs) / running;
+    const cost = Math.min(costCap, measured);
+    if (cost <= computeMaxCost(pool)) return;
+    pool.maxCostMs = cost;
+    pool.maxCostAtMs = clock.now();
   }
 
-  /** Requests that the pool takes at once. */
-  function computeLimit(pool: Pool): number {
+  /** Computes the maximum number of running requests. */
+  function computeLimit(pool: PoolState): number {
     const slots = countSlots(pool);
-    const cost = readCost(pool);
+    const cost = computeMaxCost(pool);
     if (pool.spec === undefined || cost === 0) return slots;
     const { targetPassMs, basePassMs } = pool.spec;
     const limit = Math.floor((targetPassMs - basePassMs) / cost);
     return Math.min(slots, Math.max(minLimitShare * slots, limit));
   }
 
-  /** Load of a rank for the choice among those with free places. */
-  function weigh(place: work.UpstreamSpec): number {
-    const load = taken.get(place.id);
+  /** Computes the load by which upstreams with free slots are compared. */
+  function computeLoad(upstream: work.UpstreamSpec): number {
+    const load = usage.get(upstream.id);
     if (load === undefined) return 0;
     return load.requests + load.tokens / tokensPerRequest;
   }
 
-  function choosePlace(
-    waiting: Waiting,
-    pool: Pool,
+  function chooseUpstream(
+    request: QueuedRequest,
+    pool: PoolState,
   ): work.UpstreamSpec | undefined {
-    const domain = entries.get(waiting.entryId)?.state.failureDomain;
+    const domain = entries.get(request.entryId)?.state.failureDomain;
     let best: work.UpstreamSpec | undefined;
     let bestWeight = Infinity;
-    for (const place of pool.places) {
-      if (countFree(place) <= 0 || waiting.avoided.includes(place.id)) continue;
-      const isNear = place.failureDomain === domain;
-      // Ties go to the entry's own failure domain, else to chance.
-      const weight = weigh(place) + (isNear ? 0 : 0.01) +
+    for (const upstream of pool.upstreams) {
+      if (
+        countFreeSlots(upstream) <= 0 || request.avoided.includes(upstream.id)
+      ) continue;
+      const isSameDomain = upstream.failureDomain === domain;
+      // Ties are resolved by the entry's failure domain, then at random.
+      const weight = computeLoad(upstream) + (isSameDomain ? 0 : 0.01) +
         options.random() * 0.005;
       if (weight >= bestWeight) continue;
-      best = place;
+      best = upstream;
       bestWeight = weight;
     }
     return best;
   }
 
-  function listWaiting(poolName: string): Waiting[] {
+  function listQueue(poolName: string): QueuedRequest[] {
     const nowMs = clock.now();
-    const heldBy = countHeld(poolName);
-    const isLate = (waiting: Waiting) => waiting.aimAtMs < nowMs;
+    const slotsByWorkspace = countByWorkspace(poolName);
+    const isLate = (request: QueuedRequest) => request.aimAtMs < nowMs;
     return [...entries.values()]
-      .flatMap(({ waiting }) => [...waiting.values()])
+      .flatMap(({ queued }) => [...queued.values()])
       .filter(({ pool }) => pool === poolName)
       .sort((a, b) =>
         Number(isLate(a)) - Number(isLate(b)) ||
         a.priority - b.priority ||
-        compareHeld(a, b, heldBy) ||
+        compareSlots(a, b, slotsByWorkspace) ||
         a.arrivedAtMs - b.arrivedAtMs
       );
   }
 
-  /** Counts the places of a pool by the workspaces that hold them. */
-  function countHeld(poolName: string): ReadonlyMap<string, number> {
-    const held = new Map<string, number>();
+  /** Counts the used slots of a pool by workspace. */
+  function countByWorkspace(poolName: string): ReadonlyMap<string, number> {
+    const counts = new Map<string, number>();
     const add = (workspace: string) =>
-      held.set(workspace, (held.get(workspace) ?? 0) + 1);
-    for (const { state, granted } of entries.values()) {
+      counts.set(workspace, (counts.get(workspace) ?? 0) + 1);
+    for (const { state, pendingGrants } of entries.values()) {
       for (const { upstreamId, workspace } of state.running) {
-        if (placeById.get(upstreamId)?.pool === poolName) add(workspace);
+        if (upstreamById.get(upstreamId)?.pool === poolName) add(workspace);
       }
-      for (const { waiting } of granted.values()) {
-        if (waiting.pool === poolName) add(waiting.workspace);
+      for (const { request } of pendingGrants.values()) {
+        if (request.pool === poolName) add(request.workspace);
       }
     }
-    return held;
+    return counts;
   }
 
-  function updateRate(pool: Pool): void {
+  function updateRate(pool: PoolState): void {
     const nowMs = clock.now();
-    const elapsedMs = nowMs - pool.measuredAtMs;
+    const elapsedMs = nowMs - pool.rateUpdatedAtMs;
     if (elapsedMs < rateIntervalMs) return;
-    const rate = pool.freed * millisecondsPerSecond / elapsedMs;
+    const rate = pool.freedSlots * millisecondsPerSecond / elapsedMs;
     pool.freedPerSecond = pool.freedPerSecond === 0
       ? rate
       : pool.freedPerSecond + rateWeight * (rate - pool.freedPerSecond);
-    pool.freed = 0;
-    pool.measuredAtMs = nowMs;
+    pool.freedSlots = 0;
+    pool.rateUpdatedAtMs = nowMs;
   }
 
-  function grantPlaces(poolName: string, pool: Pool): void {
-    let left = computeLimit(pool) - countTakenOfPool(pool);
-    for (const waiting of listWaiting(poolName)) {
-      if (left < 1) return;
-      const place = choosePlace(waiting, pool);
-      if (place === undefined) continue;
-      const entry = entries.get(waiting.entryId);
+  function grantSlots(poolName: string, pool: PoolState): void {
+    let remaining = computeLimit(pool) - countUsedSlots(pool);
+    for (const request of listQueue(poolName)) {
+      if (remaining < 1) return;
+      const upstream = chooseUpstream(request, pool);
+      if (upstream === undefined) continue;
+      const entry = entries.get(request.entryId);
       if (entry === undefined) continue;
-      left -= 1;
-      entry.waiting.delete(waiting.key);
-      entry.granted.set(waiting.key, {
-        grant: { key: waiting.key, upstreamId: place.id },
-        waiting,
-        sinceSequence: entry.state.sequence + 1,
-        atMs: clock.now(),
+      remaining -= 1;
+      entry.queued.delete(request.key);
+      entry.pendingGrants.set(request.key, {
+        grant: { key: request.key, upstreamId: upstream.id },
+        request,
+        firstSequence: entry.state.sequence + 1,
+        grantedAtMs: clock.now(),
       });
-      const load = taken.get(place.id) ?? { requests: 0, tokens: 0 };
+      const load = usage.get(upstream.id) ?? { requests: 0, tokens: 0 };
       load.requests += 1;
-      load.tokens += waiting.promptTokens;
-      taken.set(place.id, load);
+      load.tokens += request.promptTokens;
+      usage.set(upstream.id, load);
     }
   }
 
   /**
-   * Refuses what would wait too long by the rate at which places get free. What
-   * still waits found no place: all are taken, or it must avoid the free ones.
+   * Refuses requests whose predicted wait is too long. The prediction uses the
+   * rate at which slots become free. Requests still in the queue got no slot: the limit is reached,
+   * or all free slots are at upstreams that the request avoids.
    */
-  function refuseLate(poolName: string, pool: Pool): void {
-    const queue = listWaiting(poolName);
+  function refuseLate(poolName: string, pool: PoolState): void {
+    const queue = listQueue(poolName);
     const nowMs = clock.now();
-    queue.forEach((waiting, index) => {
-      const predictedMs = pool.freedPerSecond === 0
+    queue.forEach((request, index) => {
+      const predictedWaitMs = pool.freedPerSecond === 0
         ? 0
         : (index + 1) * millisecondsPerSecond / pool.freedPerSecond;
-      const waitedMs = nowMs - waiting.arrivedAtMs;
-      const isLate = waitedMs + predictedMs > maxWaitMs ||
-        nowMs + predictedMs > waiting.giveUpAtMs;
+      const waitedMs = nowMs - request.arrivedAtMs;
+      const isLate = waitedMs + predictedWaitMs > maxWaitMs ||
+        nowMs + predictedWaitMs > request.giveUpAtMs;
       if (!isLate) return;
-      const entry = entries.get(waiting.entryId);
-      entry?.waiting.delete(waiting.key);
-      entry?.denials.set(waiting.key, {
-        key: waiting.key,
-        retryAfterMs: spreadRetry(predictedMs),
+      const entry = entries.get(request.entryId);
+      entry?.queued.delete(request.key);
+      entry?.denials.set(request.key, {
+        key: request.key,
+        retryAfterMs: computeRetryMs(predictedWaitMs),
       });
     });
   }
 
-  function spreadRetry(predictedMs: number): number {
-    const spread = 1 + retrySpread * options.random();
-    const bounded = Math.max(minRetryMs, predictedMs * spread);
-    return Math.round(Math.min(maxRetryMs, bounded));
+  function computeRetryMs(predictedWaitMs: number): number {
+    const jitter = 1 + retryJitterShare * options.random();
+    const delayMs = Math.max(minRetryMs, predictedWaitMs * jitter);
+    return Math.round(Math.min(maxRetryMs, delayMs));
   }
 
-  function listDecided({ granted, denials }: Entry): readonly string[] {
-    return [...granted.keys(), ...denials.keys()];
+  function listDecidedKeys(
+    { pendingGrants, denials }: EntryState,
+  ): readonly string[] {
+    return [...pendingGrants.keys(), ...denials.keys()];
   }
 
-  /** Decides for all; returns the entries that have something new. */
+  /** Decides on all requests; returns the entries with new decisions. */
   function decideAll(): Map<string, work.Decisions> {
     const before = new Map(
-      [...entries].map(([id, entry]) => [id, new Set(listDecided(entry))]),
+      [...entries].map(([id, entry]) => [id, new Set(listDecidedKeys(entry))]),
     );
-    dropSilent();
-    countTaken();
+    removeExpiredEntries();
+    updateUsage();
     for (const [name, pool] of pools) {
       updateRate(pool);
-      grantPlaces(name, pool);
+      grantSlots(name, pool);
       refuseLate(name, pool);
     }
     const decided = new Map<string, work.Decisions>();
     for (const [id, entry] of entries) {
-      const known = before.get(id);
-      const isNew = listDecided(entry).some((key) => !known?.has(key));
-      if (isNew) decided.set(id, takeDecisions(entry));
+      const previous = before.get(id);
+      const isNew = listDecidedKeys(entry).some((key) => !previous?.has(key));
+      if (isNew) decided.set(id, collectDecisions(entry));
     }
     return decided;
   }
 
-  function takeDecisions(entry: Entry): work.Decisions {
+  function collectDecisions(entry: EntryState): work.Decisions {
     const denials = [...entry.denials.values()];
-    const grants = [...entry.granted.values()].map(({ grant }) => grant);
+    const grants = [...entry.pendingGrants.values()].map(({ grant }) => grant);
     return { sequence: entry.state.sequence, grants, denials };
   }
 
-  /** Counts the places that an entry has given back since its last state. */
+  /** Counts the slots that an entry has released since its last state. */
   function countFreed(before: work.WorkState, state: work.WorkState): void {
-    const still = new Set(state.running.map(({ key }) => key));
+    const runningKeys = new Set(state.running.map(({ key }) => key));
     for (const { key, upstreamId } of before.running) {
-      const pool = pools.get(placeById.get(upstreamId)?.pool ?? "");
-      if (pool !== undefined && !still.has(key)) pool.freed += 1;
+      const pool = pools.get(upstreamById.get(upstreamId)?.pool ?? "");
+      if (pool !== undefined && !runningKeys.has(key)) pool.freedSlots += 1;
     }
   }
 
-  function updateEntry(entry: Entry, state: work.WorkState): void {
+  function updateEntry(entry: EntryState, state: work.WorkState): void {
     const nowMs = clock.now();
     countFreed(entry.state, state);
     entry.state = state;
     entry.receivedAtMs = nowMs;
-    const shown = new Set(state.running.map(({ key }) => key));
-    const waits = new Set(state.waiting.map(({ key }) => key));
-    for (const [key, granted] of entry.granted) {
-      // Seen running, given up on, or lost on its way.
-      const isOver = shown.has(key) ||
-        (state.sequence >= granted.sinceSequence && !waits.has(key)) ||
-        nowMs - granted.atMs > grantLifeMs;
-      if (isOver) entry.granted.delete(key);
+    const runningKeys = new Set(state.running.map(({ key }) => key));
+    const waitingKeys = new Set(state.waiting.map(({ key }) => key));
+    for (const [key, pending] of entry.pendingGrants) {
+      // The request runs, was abandoned, or the grant was lost.
+      const isSettled = runningKeys.has(key) ||
+        (state.sequence >= pending.firstSequence && !waitingKeys.has(key)) ||
+        nowMs - pending.grantedAtMs > grantTimeoutMs;
+      if (isSettled) entry.pendingGrants.delete(key);
     }
     for (const key of entry.denials.keys()) {
-      if (!waits.has(key)) entry.denials.delete(key);
+      if (!waitingKeys.has(key)) entry.denials.delete(key);
     }
-    for (const key of entry.waiting.keys()) {
-      if (!waits.has(key)) entry.waiting.delete(key);
+    for (const key of entry.queued.keys()) {
+      if (!waitingKeys.has(key)) entry.queued.delete(key);
     }
-    for (const waiting of state.waiting) {
-      if (entry.granted.has(waiting.key) || entry.denials.has(waiting.key)) {
+    for (const request of state.waiting) {
+      if (
+        entry.pendingGrants.has(request.key) || entry.denials.has(request.key)
+      ) {
         continue;
       }
-      const known = entry.waiting.get(waiting.key);
-      entry.waiting.set(waiting.key, {
-        ...waiting,
+      const existing = entry.queued.get(request.key);
+      entry.queued.set(request.key, {
+        ...request,
         entryId: state.entryId,
-        arrivedAtMs: known?.arrivedAtMs ?? nowMs - waiting.ageMs,
-        aimAtMs: known?.aimAtMs ?? nowMs + waiting.aimLeftMs,
-        giveUpAtMs: known?.giveUpAtMs ?? nowMs + waiting.leftMs,
+        arrivedAtMs: existing?.arrivedAtMs ?? nowMs - request.ageMs,
+        aimAtMs: existing?.aimAtMs ?? nowMs + request.aimLeftMs,
+        giveUpAtMs: existing?.giveUpAtMs ?? nowMs + request.leftMs,
       });
     }
   }
 
   return {
-    setUpstreams(places, specs = []) {
-      placeById.clear();
+    setUpstreams(upstreams, specs = []) {
+      upstreamById.clear();
       const before = new Map(pools);
       pools.clear();
-      for (const place of places) {
-        placeById.set(place.id, place);
-        const known = pools.get(place.pool);
-        if (known !== undefined) {
-          known.places.push(place);
+      for (const upstream of upstreams) {
+        upstreamById.set(upstream.id, upstream);
+        const existing = pools.get(upstream.pool);
+        if (existing !== undefined) {
+          existing.upstreams.push(upstream);
           continue;
         }
-        const previous = before.get(place.pool);
-        pools.set(place.pool, {
-          places: [place],
-          spec: specs.find(({ pool }) => pool === place.pool),
-          worstCostMs: previous?.worstCostMs ?? 0,
-          worstAtMs: previous?.worstAtMs ?? 0,
-          longSinceMs: previous?.longSinceMs,
+        const previous = before.get(upstream.pool);
+        pools.set(upstream.pool, {
+          upstreams: [upstream],
+          spec: specs.find(({ pool }) => pool === upstream.pool),
+          maxCostMs: previous?.maxCostMs ?? 0,
+          maxCostAtMs: previous?.maxCostAtMs ?? 0,
+          longPassesSinceMs: previous?.longPassesSinceMs,
           lastPassMs: previous?.lastPassMs ?? 0,
           freedPerSecond: previous?.freedPerSecond ?? 0,
-          freed: previous?.freed ?? 0,
-          measuredAtMs: previous?.measuredAtMs ?? clock.now(),
+          freedSlots: previous?.freedSlots ?? 0,
+          rateUpdatedAtMs: previous?.rateUpdatedAtMs ?? clock.now(),
         });
       }
     },
     receive(state) {
       let entry = entries.get(state.entryId);
       if (entry === undefined || state.sequence < entry.state.sequence) {
-        // Unknown, or started anew.
+        // New or restarted entry.
         entry = {
           state: { ...state, running: [], waiting: [] },
           receivedAtMs: clock.now(),
-          granted: new Map(),
-          waiting: new Map(),
+          pendingGrants: new Map(),
+          queued: new Map(),
           denials: new Map(),
         };
         entries.set(state.entryId, entry);
       }
       updateEntry(entry, state);
       state.passes.forEach(recordPass);
-      return decideAll().set(state.entryId, takeDecisions(entry));
+      return decideAll().set(state.entryId, collectDecisions(entry));
     },
     decide: decideAll,
     describe: () =>
       [...pools].map(([name, pool]) => ({
         pool: name,
-        waiting: listWaiting(name).length,
-        taken: countTakenOfPool(pool),
+        waiting: listQueue(name).length,
+        taken: countUsedSlots(pool),
         slots: countSlots(pool),
         limit: computeLimit(pool),
         freedPerSecond: pool.freedPerSecond,
@@ -483,10 +492,10 @@
   };
 }
 
-function compareHeld(
-  a: Waiting,
-  b: Waiting,
-  heldBy: ReadonlyMap<string, number>,
+function compareSlots(
+  a: QueuedRequest,
+  b: QueuedRequest,
+  counts: ReadonlyMap<string, number>,
 ): number {
-  return (heldBy.get(a.workspace) ?? 0) - (heldBy.get(b.workspace) ?? 0);
+  return (counts.get(a.workspace) ?? 0) - (counts.get(b.workspace) ?? 0);
 }
--- a/packages/coordination/src/dispatch/work_hub_test.ts
+++ b/packages/coordination/src/dispatch/work_hub_test.ts
@@ -10,10 +10,10 @@
   serviceMs: 1_600,
   durationMs: 7_000,
 };
-/** Requests that the places of the group serve in a second. */
+/** Requests per second that the slots of the group serve. */
 const capacity = 1_000 * group.rankCount * group.slots / group.serviceMs;
 
-test("below the capacity all begin at once and no rank is overfull", () => {
+test("below capacity, no request is refused and no rank exceeds its slots", () => {
   const result = dispatchWorld.runDispatchWorld({
     ...group,
     seed: 1,
@@ -24,31 +24,34 @@
 });
 
 test.each([1.5, 2, 5])(
-  "at %s times the capacity the places stay in use for requests in time",
+  "at %s times the capacity, the slots stay in use for timely requests",
   (load) => {
     const options = { ...group, seed: 2, load: () => load };
     const hub = dispatchWorld.runDispatchWorld(options);
-    const plain = dispatchWorld.runDispatchWorld({ ...options, isPlain: true });
+    const withoutHub = dispatchWorld.runDispatchWorld({
+      ...options,
+      isPlain: true,
+    });
     expect(hub.refusedWithFree).toBe(0);
     expect(hub.abandoned).toBeLessThan(hub.asked / 50);
-    expect(hub.inAim).toBeGreaterThan(2 * plain.inAim);
-    // The places are full from the third second to the end of the load.
+    expect(hub.inAim).toBeGreaterThan(2 * withoutHub.inAim);
+    // All slots are in use from the third second to the end of the load.
     const middle = hub.servedPerSecond.slice(3, 7);
     expect(Math.min(...middle)).toBeGreaterThan(0.8 * capacity);
   },
 );
 
-test("callers that repeat at once don't lower what is served", () => {
+test("immediate retries barely reduce the requests served in time", () => {
   const options = { ...group, seed: 3, load: () => 2 };
-  const calm = dispatchWorld.runDispatchWorld(options);
-  const storm = dispatchWorld.runDispatchWorld({
+  const baseline = dispatchWorld.runDispatchWorld(options);
+  const retryStorm = dispatchWorld.runDispatchWorld({
     ...options,
     impatientShare: 0.5,
   });
-  expect(storm.inAim).toBeGreaterThan(0.9 * calm.inAim);
+  expect(retryStorm.inAim).toBeGreaterThan(0.9 * baseline.inAim);
 });
 
-test("a burst is over for callers soon after it ends", () => {
+test("a burst causes no more refusals than its excess over the capacity", () => {
   const result = dispatchWorld.runDispatchWorld({
     ...group,
     durationMs: 12_000,
@@ -57,10 +60,10 @@
   });
   expect(result.refusedWithFree).toBe(0);
   expect(result.abandoned).toBe(0);
-  // What comes too much in 3 s, less what the free fifth serves in the 3 s for
-  // which callers come back.
-  const lost = 3 * (0.7 - 0.2) * capacity;
-  expect(result.refused).toBeLessThan(lost);
+  // Excess requests of the 3 s burst, less those that the free fifth of the
+  // capacity serves in the 3 s during which callers retry.
+  const maxRefused = 3 * (0.7 - 0.2) * capacity;
+  expect(result.refused).toBeLessThan(maxRefused);
 });
 
 function createHub() {
@@ -107,15 +110,18 @@
   };
 }
 
-test("a place goes to the entry's own failure domain first", () => {
+test("prefers a slot in the entry's own failure domain", () => {
   const { hub } = createHub();
-  const decided = hub.receive(
+  const decisions = hub.receive(
     createState(1, { waiting: [createWaiting("k1")] }),
   );
-  expect(decided.get("e1")?.grants).toEqual([{ key: "k1", upstreamId: "u1" }]);
+  expect(decisions.get("e1")?.grants).toEqual([{
+    key: "k1",
+    upstreamId: "u1",
+  }]);
 });
 
-test("a grant is repeated until the entry shows it", () => {
+test("repeats a grant until a state of the entry acknowledges it", () => {
   const { hub } = createHub();
   const waiting = [createWaiting("k1")];
   const grants = [{ key: "k1", upstreamId: "u1" }];
@@ -131,20 +137,20 @@
   expect(hub.describe()[0]?.taken).toBe(1);
 });
 
-test("urgent requests go first, and those in time before late ones", () => {
+test("grants urgent requests first, and late requests last", () => {
   const { hub } = createHub();
-  const decided = hub.receive(createState(1, {
+  const decisions = hub.receive(createState(1, {
     waiting: [
       createWaiting("late", { aimLeftMs: -1, priority: 0 }),
       createWaiting("low", { priority: 2 }),
       createWaiting("urgent", { priority: 0 }),
     ],
   }));
-  expect(decided.get("e1")?.grants.map(({ key }) => key))
+  expect(decisions.get("e1")?.grants.map(({ key }) => key))
     .toEqual(["urgent", "low"]);
 });
 
-test("a workspace that holds fewer places goes first", () => {
+test("prefers the workspace that holds fewer slots", () => {
   const { hub } = createHub();
   hub.receive(createState(1, {
     running: [{
@@ -154,7 +160,7 @@
       promptTokens: 1,
     }],
   }));
-  const decided = hub.receive(createState(2, {
+  const decisions = hub.receive(createState(2, {
     running: [{
       key: "r",
       upstreamId: "u1",
@@ -166,18 +172,21 @@
       createWaiting("k2", { workspace: "small" }),
     ],
   }));
-  expect(decided.get("e1")?.grants.map(({ key }) => key)).toEqual(["k2"]);
+  expect(decisions.get("e1")?.grants.map(({ key }) => key)).toEqual(["k2"]);
 });
 
-test("an upstream that the entry avoids is not granted", () => {
+test("does not grant an upstream that the request avoids", () => {
   const { hub } = createHub();
-  const decided = hub.receive(
+  const decisions = hub.receive(
     createState(1, { waiting: [createWaiting("k1", { avoided: ["u1"] })] }),
   );
-  expect(decided.get("e1")?.grants).toEqual([{ key: "k1", upstreamId: "u2" }]);
+  expect(decisions.get("e1")?.grants).toEqual([{
+    key: "k1",
+    upstreamId: "u2",
+  }]);
 });
 
-test("places of an entry that fell silent become free", () => {
+test("frees the slots of an entry that stopped reporting", () => {
   const { hub, clock: manual } = createHub();
   hub.receive(createState(1, {
     entryId: "gone",
@@ -195,7 +204,7 @@
     .toHaveLength(1);
 });
 
-describe("the limit of a pool whose passes are timed", () => {
+describe("the limit of a pool with measured passes", () => {
   const slotsPerRank = 20;
   const running = Array.from({ length: 30 }, (_, n) => ({
     key: `r${n}`,
@@ -217,9 +226,9 @@
       [{ pool: "p", basePassMs: 40, targetPassMs: 110 }],
     );
     let sequence = 0;
-    /** Tells of passes for a while; returns the limit after it. */
-    function observe(passMs: number, forMs: number): number {
-      for (let spentMs = 0; spentMs < forMs; spentMs += 250) {
+    /** Reports passes for a period and returns the resulting limit. */
+    function observe(passMs: number, durationMs: number): number {
+      for (let elapsedMs = 0; elapsedMs < durationMs; elapsedMs += 250) {
         sequence += 1;
         hub.receive(createState(sequence, {
           running,
@@ -232,7 +241,7 @@
     return { observe };
   }
 
-  it("falls while passes are too long because ranks turned slow", () => {
+  it("falls while slow ranks make passes too long", () => {
     const { observe } = createTimedHub();
     const before = observe(100, 1_000);
     const slow = observe(200, 6_000);
@@ -240,14 +249,14 @@
     expect(slow).toBe(0.65 * 2 * slotsPerRank);
   });
 
-  it("is soon what it was when they are quick again", () => {
+  it("recovers soon after passes become fast again", () => {
     const { observe } = createTimedHub();
     const before = observe(100, 1_000);
     observe(400, 6_000);
     expect(observe(80, 5_000)).toBeGreaterThanOrEqual(before);
   });
 
-  it("does not fall for passes that were held for a moment", () => {
+  it("does not fall when passes are held briefly", () => {
     const { observe } = createTimedHub();
     const before = observe(100, 1_000);
     observe(900, 500);
--- a/packages/coordination/src/health.ts
+++ b/packages/coordination/src/health.ts
@@ -1,29 +1,30 @@
 /**
- * Health of upstreams as one node sees it: outliers are ejected for a time that
- * doubles, then probed by one request (half-open) before they serve again. The
- * share of a need's upstreams that may be ejected is capped, and the last one
- * that serves a need or a group of several is never ejected.
+ * Outlier ejection of upstreams at one node. An outlier is ejected for a period
+ * that doubles with each ejection. Afterwards it is half-open: one request at a
+ * time probes it, and a completed probe restores it. Each pool caps the share
+ * of its members that may be ejected. The last available member of a pool is
+ * never ejected, whether the pool stands for a model or for a group.
  */
 import type * as clock from "./clock.ts";
 import type * as random from "./random.ts";
 
-/** How an attempt at an upstream ended; `refused` is a sign of life. */
+/** How an attempt ended; a `refused` attempt shows that the upstream is up. */
 export type AttemptOutcome = "completed" | "refused" | "failed" | "lost";
 
-/** A set of upstreams of which not all may be ejected. */
+/** A set of upstreams that limits how many of them may be ejected. */
 export interface HealthPool {
   readonly members: readonly string[];
-  /** Largest share of the members that may be ejected, from 0 to 1. */
+  /** Maximum share of the members that may be ejected, from 0 to 1. */
   readonly maxEjectedShare: number;
 }
 
 export type HealthState =
   | { readonly kind: "healthy" }
   | { readonly kind: "ejected"; readonly untilMs: number }
-  /** The time of ejection is over; one request at a time may probe it. */
+  /** The ejection has expired; one request at a time may probe the upstream. */
   | { readonly kind: "half_open"; readonly isProbing: boolean };
 
-/** An upstream was ejected or taken back. */
+/** An upstream was ejected or restored. */
 export interface HealthChange {
   readonly kind: "ejected" | "restored";
   readonly upstreamId: string;
@@ -35,12 +36,12 @@
   readonly random: random.RandomSource;
   readonly onChange?: (change: HealthChange) => void;
   /**
-   * Failures in a row that eject an upstream.
+   * Number of consecutive failures that ejects an upstream.
    * @default 3
    */
-  readonly maxFailures?: number;
+  readonly maxConsecutiveFailures?: number;
   /**
-   * Share of failures among the latest outcomes that ejects an upstream.
+   * Moving average of the failure share above which an upstream is ejected.
    * @default 0.5
    */
   readonly maxFailureShare?: number;
@@ -50,44 +51,44 @@
    */
   readonly ejectionMs?: number;
   /**
-   * Longest ejection, in milliseconds.
+   * Maximum duration of an ejection without jitter, in milliseconds.
    * @default 60000
    */
   readonly maxEjectionMs?: number;
   /**
-   * Time after which a probe that has not ended makes room for another.
+   * Time after which an unfinished probe permits another, in milliseconds.
    * @default 10000
    */
   readonly probeTimeoutMs?: number;
 }
 
 export interface Health {
-  /** Replaces a pool; an empty one is forgotten. */
+  /** Replaces a pool; a pool without members is removed. */
   setPool(name: string, pool: HealthPool): void;
   isAvailable(upstreamId: string): boolean;
-  /** Factor on the expected wait: 1 and more for each failure in a row. */
+  /** Factor on the expected wait: 1 plus the number of consecutive failures. */
   computePenalty(upstreamId: string): number;
-  /** Records a dispatch; it is the probe of a half-open upstream. */
+  /** Records a dispatch; it is the probe if the upstream is half-open. */
   recordSent(upstreamId: string): void;
   recordOutcome(upstreamId: string, outcome: AttemptOutcome): void;
-  /** Records that an open attempt has been silent past its deadline. */
+  /** Records that no open attempt made progress before the deadline. */
   recordStall(upstreamId: string): void;
   getState(upstreamId: string): HealthState;
   countEjected(): number;
 }
 
-interface Entry {
-  failuresInRow: number;
-  outcomes: number;
+interface TrackedUpstream {
+  consecutiveFailures: number;
+  outcomeCount: number;
   failureShare: number;
-  ejections: number;
-  /** Instant until which it is ejected; undefined while healthy. */
+  ejectionCount: number;
+  /** End of the ejection; undefined while the upstream is healthy. */
   ejectedUntilMs: number | undefined;
-  probedAtMs: number | undefined;
+  probeSentAtMs: number | undefined;
 }
 
 const defaults = {
-  maxFailures: 3,
+  maxConsecutiveFailures: 3,
   maxFailureShare: 0.5,
   ejectionMs: 5_000,
   maxEjectionMs: 60_000,
@@ -95,49 +96,49 @@
 };
 const outcomeWeight = 0.15;
 const minOutcomes = 10;
-/** Ejections end up to this share later, so that probes do not coincide. */
+/** Maximum jitter of an ejection, so that probes do not coincide. */
 const jitterShare = 0.2;
 
-/** Creates the health of upstreams that are all healthy. */
+/** Creates a health table in which all upstreams are healthy. */
 export function createHealth(options: HealthOptions): Health {
   const settings = { ...defaults, ...options };
   const { clock } = options;
   const pools = new Map<string, HealthPool>();
   const poolNames = new Map<string, Set<string>>();
-  const entries = new Map<string, Entry>();
+  const upstreams = new Map<string, TrackedUpstream>();
 
-  function getEntry(upstreamId: string): Entry {
-    let entry = entries.get(upstreamId);
-    if (entry === undefined) {
-      entry = {
-        failuresInRow: 0,
-        outcomes: 0,
+  function getTracked(upstreamId: string): TrackedUpstream {
+    let tracked = upstreams.get(upstreamId);
+    if (tracked === undefined) {
+      tracked = {
+        consecutiveFailures: 0,
+        outcomeCount: 0,
         failureShare: 0,
-        ejections: 0,
+        ejectionCount: 0,
         ejectedUntilMs: undefined,
-        probedAtMs: undefined,
+        probeSentAtMs: undefined,
       };
-      entries.set(upstreamId, entry);
+      upstreams.set(upstreamId, tracked);
     }
-    return entry;
+    return tracked;
   }
 
-  function isOut(upstreamId: string): boolean {
-    return entries.get(upstreamId)?.ejectedUntilMs !== undefined;
+  function isEjectedOrHalfOpen(upstreamId: string): boolean {
+    return upstreams.get(upstreamId)?.ejectedUntilMs !== undefined;
   }
 
   function isEjectable(upstreamId: string): boolean {
     for (const name of poolNames.get(upstreamId) ?? []) {
       const { members = [], maxEjectedShare = 1 } = pools.get(name) ?? {};
-      const ejected = members.filter(isOut).length + 1;
+      const ejected = members.filter(isEjectedOrHalfOpen).length + 1;
       const limit = Math.floor(members.length * maxEjectedShare);
       if (ejected > limit || ejected >= members.length) return false;
     }
     return true;
   }
 
-  function computeEjectionMs(ejections: number): number {
-    const doubledMs = settings.ejectionMs * 2 ** (ejections - 1);
+  function computeEjectionMs(ejectionCount: number): number {
+    const doubledMs = settings.ejectionMs * 2 ** (ejectionCount - 1);
     const jitter = 1 + jitterShare * options.random();
     return Math.min(settings.maxEjectionMs, doubledMs) * jitter;
   }
@@ -146,42 +147,43 @@
     upstreamId: string,
     cause: HealthChange["cause"],
   ): void {
-    const entry = getEntry(upstreamId);
-    entry.ejections += 1;
-    entry.ejectedUntilMs = clock.now() + computeEjectionMs(entry.ejections);
-    entry.probedAtMs = undefined;
+    const tracked = getTracked(upstreamId);
+    tracked.ejectionCount += 1;
+    tracked.ejectedUntilMs = clock.now() +
+      computeEjectionMs(tracked.ejectionCount);
+    tracked.probeSentAtMs = undefined;
     options.onChange?.({ kind: "ejected", upstreamId, cause });
   }
 
-  function restore(upstreamId: string, entry: Entry): void {
-    entry.ejectedUntilMs = undefined;
-    entry.probedAtMs = undefined;
-    entry.failureShare = 0;
-    entry.outcomes = 0;
+  function restore(upstreamId: string, tracked: TrackedUpstream): void {
+    tracked.ejectedUntilMs = undefined;
+    tracked.probeSentAtMs = undefined;
+    tracked.failureShare = 0;
+    tracked.outcomeCount = 0;
     options.onChange?.({ kind: "restored", upstreamId, cause: "probe" });
   }
 
-  function isProbing(entry: Entry): boolean {
-    const probedAtMs = entry.probedAtMs ?? -Infinity;
-    return clock.now() - probedAtMs < settings.probeTimeoutMs;
+  function isProbing(tracked: TrackedUpstream): boolean {
+    const probeSentAtMs = tracked.probeSentAtMs ?? -Infinity;
+    return clock.now() - probeSentAtMs < settings.probeTimeoutMs;
   }
 
-  function isEjected(entry: Entry): boolean {
-    return clock.now() < (entry.ejectedUntilMs ?? -Infinity);
+  function isEjected(tracked: TrackedUpstream): boolean {
+    return clock.now() < (tracked.ejectedUntilMs ?? -Infinity);
   }
 
   function recordSuccess(upstreamId: string): void {
-    const entry = getEntry(upstreamId);
-    entry.failuresInRow = 0;
-    entry.failureShare *= 1 - outcomeWeight;
-    entry.outcomes += 1;
-    if (entry.ejectedUntilMs === undefined) {
-      if (entry.failureShare < outcomeWeight) entry.ejections = 0;
+    const tracked = getTracked(upstreamId);
+    tracked.consecutiveFailures = 0;
+    tracked.failureShare *= 1 - outcomeWeight;
+    tracked.outcomeCount += 1;
+    if (tracked.ejectedUntilMs === undefined) {
+      if (tracked.failureShare < outcomeWeight) tracked.ejectionCount = 0;
       return;
     }
-    // An attempt from before the ejection says nothing about the time after.
-    if (!isEjected(entry) && entry.probedAtMs !== undefined) {
-      restore(upstreamId, entry);
+    // An attempt dispatched before the ejection is not a probe.
+    if (!isEjected(tracked) && tracked.probeSentAtMs !== undefined) {
+      restore(upstreamId, tracked);
     }
   }
 
@@ -189,20 +191,20 @@
     upstreamId: string,
     cause: "failures" | "stall",
   ): void {
-    const entry = getEntry(upstreamId);
-    entry.failuresInRow += 1;
-    entry.outcomes += 1;
-    entry.failureShare += outcomeWeight * (1 - entry.failureShare);
-    if (entry.ejectedUntilMs !== undefined) {
-      if (!isEjected(entry) && entry.probedAtMs !== undefined) {
+    const tracked = getTracked(upstreamId);
+    tracked.consecutiveFailures += 1;
+    tracked.outcomeCount += 1;
+    tracked.failureShare += outcomeWeight * (1 - tracked.failureShare);
+    if (tracked.ejectedUntilMs !== undefined) {
+      if (!isEjected(tracked) && tracked.probeSentAtMs !== undefined) {
         eject(upstreamId, "probe");
       }
       return;
     }
     const isOutlier = cause === "stall" ||
-      entry.failuresInRow >= settings.maxFailures ||
-      (entry.outcomes >= minOutcomes &&
-        entry.failureShare > settings.maxFailureShare);
+      tracked.consecutiveFailures >= settings.maxConsecutiveFailures ||
+      (tracked.outcomeCount >= minOutcomes &&
+        tracked.failureShare > settings.maxFailureShare);
     if (isOutlier && isEjectable(upstreamId)) eject(upstreamId, cause);
   }
 
@@ -215,9 +217,9 @@
     pools.delete(name);
   }
 
-  function dropUnused(members: readonly string[]): void {
+  function removeWithoutPool(members: readonly string[]): void {
     for (const member of members) {
-      if (!poolNames.has(member)) entries.delete(member);
+      if (!poolNames.has(member)) upstreams.delete(member);
     }
   }
 
@@ -230,27 +232,27 @@
         const names = poolNames.get(member) ?? new Set();
         poolNames.set(member, names.add(name));
       }
-      dropUnused(previous);
+      removeWithoutPool(previous);
     },
     isAvailable(upstreamId) {
-      const entry = entries.get(upstreamId);
-      if (entry?.ejectedUntilMs === undefined) return true;
-      return !isEjected(entry) && !isProbing(entry);
+      const tracked = upstreams.get(upstreamId);
+      if (tracked?.ejectedUntilMs === undefined) return true;
+      return !isEjected(tracked) && !isProbing(tracked);
     },
     computePenalty: (upstreamId) =>
-      1 + (entries.get(upstreamId)?.failuresInRow ?? 0),
+      1 + (upstreams.get(upstreamId)?.consecutiveFailures ?? 0),
     recordSent(upstreamId) {
-      const entry = entries.get(upstreamId);
-      if (entry?.ejectedUntilMs === undefined || isEjected(entry)) return;
-      entry.probedAtMs = clock.now();
+      const tracked = upstreams.get(upstreamId);
+      if (tracked?.ejectedUntilMs === undefined || isEjected(tracked)) return;
+      tracked.probeSentAtMs = clock.now();
     },
     recordOutcome(upstreamId, outcome) {
       switch (outcome) {
         case "completed":
           return recordSuccess(upstreamId);
         case "refused": {
-          const entry = entries.get(upstreamId);
-          if (entry !== undefined) entry.probedAtMs = undefined;
+          const tracked = upstreams.get(upstreamId);
+          if (tracked !== undefined) tracked.probeSentAtMs = undefined;
           return;
         }
         case "failed":
@@ -260,12 +262,13 @@
     },
     recordStall: (upstreamId) => recordFailure(upstreamId, "stall"),
     getState(upstreamId) {
-      const entry = entries.get(upstreamId);
-      if (entry?.ejectedUntilMs === undefined) return { kind: "healthy" };
-      return isEjected(entry)
-        ? { kind: "ejected", untilMs: entry.ejectedUntilMs }
-        : { kind: "half_open", isProbing: isProbing(entry) };
+      const tracked = upstreams.get(upstreamId);
+      if (tracked?.ejectedUntilMs === undefined) return { kind: "healthy" };
+      return isEjected(tracked)
+        ? { kind: "ejected", untilMs: tracked.ejectedUntilMs }
+        : { kind: "half_open", isProbing: isProbing(tracked) };
     },
-    countEjected: () => [...entries.keys()].filter(isOut).length,
+    countEjected: () =>
+      [...upstreams.keys()].filter(isEjectedOrHalfOpen).length,
   };
 }
--- a/packages/coordination/src/health_test.ts
+++ b/packages/coordination/src/health_test.ts
@@ -12,7 +12,7 @@
     onChange: (change) => changes.push(change),
   });
   const members = Array.from({ length: count }, (_, index) => `u${index}`);
-  tested.setPool("need", { members, maxEjectedShare });
+  tested.setPool("model", { members, maxEjectedShare });
   return { tested, manual, members, changes };
 }
 
@@ -21,7 +21,7 @@
 }
 
 describe("ejection", () => {
-  test("follows failures in a row, and a success starts the count anew", () => {
+  test("follows consecutive failures, and a success resets their count", () => {
     const { tested } = createHealth(4);
     fail(tested, "u0", 2);
     expect(tested.computePenalty("u0")).toBe(3);
@@ -32,7 +32,7 @@
     expect(tested.isAvailable("u0")).toBe(false);
   });
 
-  test("follows a high share of failures without a row of them", () => {
+  test("follows a high failure share without enough consecutive failures", () => {
     const { tested } = createHealth(4);
     for (let round = 0; round < 12; round += 1) {
       fail(tested, "u0", 2);
@@ -41,7 +41,7 @@
     expect(tested.isAvailable("u0")).toBe(false);
   });
 
-  test("refusals are no failures", () => {
+  test("refusals do not count as failures", () => {
     const { tested } = createHealth(4);
     for (let time = 0; time < 50; time += 1) {
       tested.recordOutcome("u0", "refused");
@@ -49,7 +49,7 @@
     expect(tested.isAvailable("u0")).toBe(true);
   });
 
-  test("ends with one probe, and doubles when the probe fails", () => {
+  test("ends after one completed probe and doubles after a failed probe", () => {
     const { tested, manual, changes } = createHealth(4);
     fail(tested, "u0");
     manual.advance(4_999);
@@ -69,7 +69,7 @@
       .toEqual(["ejected", "ejected", "restored"]);
   });
 
-  test("an attempt from before the ejection is no probe", () => {
+  test("an attempt dispatched before the ejection does not count as a probe", () => {
     const { tested, manual } = createHealth(4);
     fail(tested, "u0");
     tested.recordOutcome("u0", "completed");
@@ -79,7 +79,7 @@
     expect(tested.getState("u0").kind).toBe("half_open");
   });
 
-  test("a probe that never ends makes room for another", () => {
+  test("permits another probe when the first one times out", () => {
     const { tested, manual } = createHealth(4);
     fail(tested, "u0");
     manual.advance(5_000);
@@ -90,7 +90,7 @@
     expect(tested.isAvailable("u0")).toBe(true);
   });
 
-  test("leaves the last one of a group", () => {
+  test("never applies to the last available member of a group", () => {
     const { tested } = createHealth(10, 1);
     tested.setPool("group", { members: ["u0", "u1"], maxEjectedShare: 1 });
     fail(tested, "u0");
@@ -99,7 +99,7 @@
     expect(tested.isAvailable("u1")).toBe(true);
   });
 
-  test("never passes its cap, whatever happens", () => {
+  test("never exceeds the cap for any sequence of events", () => {
     const step = fc.tuple(
       fc.integer({ min: 0, max: 8 }),
       fc.constantFrom("sent", "completed", "failed", "lost", "stall", "wait"),
@@ -129,16 +129,16 @@
     );
   });
 
-  test("forgets members that left every pool", () => {
+  test("state of a member is removed when it has left every pool", () => {
     const { tested } = createHealth(4);
     fail(tested, "u0");
-    tested.setPool("need", { members: ["u1", "u2"], maxEjectedShare: 0.5 });
+    tested.setPool("model", { members: ["u1", "u2"], maxEjectedShare: 0.5 });
     expect(tested.getState("u0")).toEqual({ kind: "healthy" });
     expect(tested.countEjected()).toBe(0);
   });
 });
 
-describe("a stall", () => {
+describe("stall detection", () => {
   function createWatch() {
     const manual = clock.createManualClock();
     return {
@@ -147,7 +147,7 @@
     };
   }
 
-  test("is found by the gap between tokens while others go on", () => {
+  test("reports an upstream without tokens while another makes progress", () => {
     const { manual, watch } = createWatch();
     watch.start("u0", "model");
     watch.start("u1", "model");
@@ -165,7 +165,7 @@
     expect(watch.detectStalled()).toEqual([]);
   });
 
-  test("is not a queue: one attempt goes on while others wait", () => {
+  test("ignores queued attempts while one attempt makes progress", () => {
     const { manual, watch } = createWatch();
     for (let attempt = 0; attempt < 9; attempt += 1) watch.start("u0", "model");
     for (let token = 0; token < 400; token += 1) {
@@ -175,7 +175,7 @@
     }
   });
 
-  test("waits for as long as gaps usually last, up to a bound", () => {
+  test("scales the deadline with the recent gap, up to a bound", () => {
     const { manual, watch } = createWatch();
     expect(watch.getDeadlineMs("model")).toBe(5_000);
     watch.start("u0", "model");
@@ -188,7 +188,7 @@
     expect(watch.detectStalled()).toEqual(["u0"]);
   });
 
-  test("an upstream whose attempts ended is not watched", () => {
+  test("stops watching an upstream when its attempts have ended", () => {
     const { manual, watch } = createWatch();
     watch.start("u0", "model");
     watch.start("u0", "model");
@@ -200,7 +200,7 @@
     expect(watch.countWatched()).toBe(0);
   });
 
-  test("ejects the upstream at once", () => {
+  test("ejects the stalled upstream at once", () => {
     const { tested } = createHealth(3);
     tested.recordStall("u0");
     expect(tested.isAvailable("u0")).toBe(false);
--- a/packages/coordination/src/limits.ts
+++ b/packages/coordination/src/limits.ts
@@ -1,17 +1,17 @@
 /**
- * Limits of one workspace at one entry: requests a second, tokens a second and
- * requests in progress, each scaled by the share that the entry holds. In any
- * window all entries together admit at most `limit x seconds`, one burst of
- * `limit x burstMs`, and one request for each entry. Tokens are known only when
- * they have been generated: running requests may put the token bucket into
- * debt, which is paid before another request is admitted.
+ * Limits of one workspace at one entry: requests per second, tokens per second
+ * and requests in flight, each scaled by the share that the entry holds. In any
+ * window, all entries together admit at most `limit x seconds`, plus one burst
+ * of `limit x burstMs`, plus one request per entry. Tokens are counted only
+ * after they have been generated, so running requests may put the token bucket
+ * into debt. Further requests are refused until the debt is repaid.
  */
 import type * as clock from "./clock.ts";
 
 export interface Limits {
   readonly requestsPerSecond: number;
   readonly tokensPerSecond: number;
-  /** Requests in progress at once. */
+  /** Maximum number of requests in flight. */
   readonly concurrency: number;
 }
 
@@ -22,7 +22,7 @@
   | {
     readonly kind: "refused";
     readonly limit: LimitName;
-    /** When there is room again at the present share, in milliseconds. */
+    /** Time until capacity is free at the current share, in milliseconds. */
     readonly retryAfterMs: number;
   };
 
@@ -37,44 +37,44 @@
   readonly limits: Limits;
   readonly readShares: () => Shares;
   /**
-   * Time for which unused requests and tokens are saved, in milliseconds.
+   * Time for which unused requests and tokens accumulate, in milliseconds.
    * @default 1000
    */
   readonly burstMs?: number;
   /**
-   * Saved share at the start, from 0 (for shares that another entry may have
-   * used just now) to 1.
+   * Initial fill level of the buckets, from 0 to 1. Use 0 if another entry may
+   * just have used the shares.
    * @default 0
    */
   readonly initialFill?: number;
 }
 
 export interface Limiter {
-  /** Admits a request or says at once when to come back. */
+  /** Admits a request, or refuses it at once with a retry delay. */
   admit(): AdmitOutcome;
-  /** Must be called once for each admitted request, when it ends. */
+  /** Must be called once per admitted request, when it ends. */
   release(): void;
-  /** Must be called just before the shares rise; they may fall at any time. */
+  /** Must be called just before the shares rise, but not before they fall. */
   update(): void;
   /** Counts tokens that were generated. */
   recordTokens(count: number): void;
   setLimits(limits: Limits): void;
-  /** Share of each kind that callers asked for since the last call. */
+  /** Returns the shares that callers demanded since the last call. */
   takeDemand(): Shares;
   countInFlight(): number;
 }
 
 interface Bucket {
-  /** Returns the time until one unit is there, in milliseconds. */
+  /** Returns the time until one unit is available, in milliseconds. */
   check(): number;
   add(amount: number): void;
 }
 
 const defaultBurstMs = 1_000;
 const millisecondsPerSecond = 1_000;
-const longestRetryMs = 30_000;
+const maxRetryMs = 30_000;
 const concurrencyRetryMs = 1_000;
-/** Lets a sum of shares that is 1 up to rounding count as 1. */
+/** Tolerance, so that shares whose sum is 1 except for rounding count as 1. */
 const roundingSlack = 1e-9;
 
 interface BucketOptions {
@@ -87,7 +87,7 @@
 function createBucket(options: BucketOptions): Bucket {
   const { clock, burstMs, readRate } = options;
   let filledAtMs = clock.now();
-  let level: number | undefined;
+  let storedUnits: number | undefined;
 
   function computeCapacity(): number {
     const rate = readRate();
@@ -97,43 +97,43 @@
   function fill(): number {
     const nowMs = clock.now();
     const added = readRate() * (nowMs - filledAtMs) / millisecondsPerSecond;
-    const present = level ?? computeCapacity() * options.initialFill;
-    level = Math.min(computeCapacity(), present + added);
+    const current = storedUnits ?? computeCapacity() * options.initialFill;
+    storedUnits = Math.min(computeCapacity(), current + added);
     filledAtMs = nowMs;
-    return level;
+    return storedUnits;
   }
 
   return {
     check() {
-      const missing = 1 - fill();
-      if (missing <= roundingSlack) return 0;
+      const missingUnits = 1 - fill();
+      if (missingUnits <= roundingSlack) return 0;
       const rate = readRate();
-      if (rate === 0) return longestRetryMs;
-      return Math.min(longestRetryMs, missing / rate * millisecondsPerSecond);
+      if (rate === 0) return maxRetryMs;
+      return Math.min(maxRetryMs, missingUnits / rate * millisecondsPerSecond);
     },
     add(amount) {
-      level = fill() + amount;
+      storedUnits = fill() + amount;
     },
   };
 }
 
-/** Creates a limiter with nothing in progress. */
+/** Creates a limiter without requests in flight. */
 export function createLimiter(options: LimiterOptions): Limiter {
   const { clock, readShares } = options;
   const burstMs = options.burstMs ?? defaultBurstMs;
   const initialFill = options.initialFill ?? 0;
   let limits = options.limits;
-  let open = 0;
-  let asked = 0;
+  let inFlight = 0;
+  let admitCalls = 0;
   let tokens = 0;
   let demandSinceMs = clock.now();
-  const common = { clock, burstMs, initialFill };
+  const bucketOptions = { clock, burstMs, initialFill };
   const requestBucket = createBucket({
-    ...common,
+    ...bucketOptions,
     readRate: () => limits.requestsPerSecond * readShares().rates,
   });
   const tokenBucket = createBucket({
-    ...common,
+    ...bucketOptions,
     readRate: () => limits.tokensPerSecond * readShares().rates,
   });
 
@@ -143,9 +143,9 @@
 
   return {
     admit() {
-      asked += 1;
-      const places = limits.concurrency * readShares().concurrency;
-      if (open + 1 > places + roundingSlack) {
+      admitCalls += 1;
+      const maxInFlight = limits.concurrency * readShares().concurrency;
+      if (inFlight + 1 > maxInFlight + roundingSlack) {
         return refuse("concurrency", concurrencyRetryMs);
       }
       const tokenWaitMs = tokenBucket.check();
@@ -153,11 +153,11 @@
       const requestWaitMs = requestBucket.check();
       if (requestWaitMs > 0) return refuse("requestsPerSecond", requestWaitMs);
       requestBucket.add(-1);
-      open += 1;
+      inFlight += 1;
       return { kind: "admitted" };
     },
     release() {
-      open = Math.max(0, open - 1);
+      inFlight = Math.max(0, inFlight - 1);
     },
     update() {
       requestBucket.add(0);
@@ -174,15 +174,15 @@
       const elapsedMs = Math.max(1, clock.now() - demandSinceMs);
       const perSecond = millisecondsPerSecond / elapsedMs;
       const rates = Math.max(
-        asked * perSecond / limits.requestsPerSecond,
+        admitCalls * perSecond / limits.requestsPerSecond,
         tokens * perSecond / limits.tokensPerSecond,
       );
-      const concurrency = (open + asked) / limits.concurrency;
-      asked = 0;
+      const concurrency = (inFlight + admitCalls) / limits.concurrency;
+      admitCalls = 0;
       tokens = 0;
       demandSinceMs = clock.now();
       return { rates, concurrency };
     },
-    countInFlight: () => open,
+    countInFlight: () => inFlight,
   };
 }
--- a/packages/coordination/src/limits_test.ts
+++ b/packages/coordination/src/limits_test.ts
@@ -5,7 +5,7 @@
 import * as shareAllocator from "./share_allocator.ts";
 import * as shareClient from "./share_client.ts";
 
-const terms: shareAllocator.ShareLeaseOptions = {
+const leaseOptions: shareAllocator.ShareLeaseOptions = {
   leaseMs: 2_000,
   fixedLeaseMs: 10_000,
   fixedShare: 0.04,
@@ -23,11 +23,11 @@
 interface Entry {
   readonly id: string;
   readonly rates: shareClient.ShareClient;
-  readonly places: shareClient.ShareClient;
+  readonly concurrency: shareClient.ShareClient;
   readonly limiter: limits.Limiter;
-  readonly appetite: number;
+  readonly demand: number;
   isAlive: boolean;
-  isCut: boolean;
+  isDisconnected: boolean;
 }
 
 interface Message {
@@ -36,121 +36,129 @@
 }
 
 type Action =
-  | { readonly kind: "join"; readonly appetite: number }
+  | { readonly kind: "join"; readonly demand: number }
   | {
-    readonly kind: "kill" | "cut" | "heal" | "wait";
+    readonly kind: "crash" | "disconnect" | "reconnect" | "wait";
     readonly entry: number;
   }
-  | { readonly kind: "replace_holder"; readonly silentMs: number };
+  | { readonly kind: "replace_allocator"; readonly downtimeMs: number };
 
-/** Entries, holders one after another, and a network that loses, delays,
- * doubles and reorders. */
+/** Simulates entries, successive allocators, and a network that loses, delays,
+ * duplicates and reorders messages. */
 function createCluster(seed: number) {
   const manual = clock.createManualClock();
-  const source = random.createRandomSource(seed);
+  const nextRandom = random.createRandomSource(seed);
   const entries: Entry[] = [];
   const running: { endAtMs: number; entry: Entry }[] = [];
   let messages: Message[] = [];
   let term = 0;
-  let holders:
+  let allocators:
     | readonly [
       shareAllocator.ShareAllocator,
       shareAllocator.ShareAllocator,
     ]
     | undefined;
-  let holderFromMs = 0;
+  let allocatorStartMs = 0;
   let admitted = 0;
   let lowestExcess = 0;
-  let refilled = 0;
+  let permitted = 0;
 
-  function createHolders() {
+  function createAllocators() {
     term += 1;
-    const common = {
-      ...terms,
+    const allocatorOptions = {
+      ...leaseOptions,
       clock: manual,
       marginMs,
       term,
       hasPredecessor: term > 1,
     };
     return [
-      shareAllocator.createShareAllocator(common),
+      shareAllocator.createShareAllocator(allocatorOptions),
       shareAllocator.createShareAllocator({
-        ...common,
+        ...allocatorOptions,
         drainMs: longestRequestMs,
       }),
     ] as const;
   }
 
   function send(deliver: () => void): void {
-    const copies = source() < 0.1 ? 2 : source() < 0.15 ? 0 : 1;
+    const copies = nextRandom() < 0.1 ? 2 : nextRandom() < 0.15 ? 0 : 1;
     for (let copy = 0; copy < copies; copy += 1) {
-      const delayMs = source() < 0.1 ? source() * 6_000 : source() * 300;
+      const delayMs = nextRandom() < 0.1
+        ? nextRandom() * 6_000
+        : nextRandom() * 300;
       messages.push({ atMs: manual.now() + delayMs, deliver });
     }
   }
 
-  function join(appetite: number): void {
-    const options = { ...terms, clock: manual, entryId: `e${entries.length}` };
+  function join(demand: number): void {
+    const options = {
+      ...leaseOptions,
+      clock: manual,
+      entryId: `e${entries.length}`,
+    };
     const rates = shareClient.createShareClient(options);
-    const places = shareClient.createShareClient(options);
+    const concurrency = shareClient.createShareClient(options);
     const limiter = limits.createLimiter({
       clock: manual,
       limits: limit,
       readShares: () => ({
         rates: rates.getShare(),
-        concurrency: places.getShare(),
+        concurrency: concurrency.getShare(),
       }),
     });
     entries.push({
       id: options.entryId,
       rates,
-      places,
+      concurrency,
       limiter,
-      appetite,
+      demand,
       isAlive: true,
-      isCut: false,
+      isDisconnected: false,
     });
   }
 
-  function sendAsks(entry: Entry): void {
+  function sendShareRequests(entry: Entry): void {
     const inUse = entry.limiter.countInFlight() / limit.concurrency;
-    const use = { demand: entry.appetite, inUse };
-    const asks = [
+    const use = { demand: entry.demand, inUse };
+    const requests = [
       entry.rates.createRequest({ ...use, inUse: 0 }),
-      entry.places.createRequest(use),
+      entry.concurrency.createRequest(use),
     ] as const;
-    if (entry.isCut) return;
-    const takers = [entry.rates, entry.places] as const;
+    if (entry.isDisconnected) return;
+    const clients = [entry.rates, entry.concurrency] as const;
     for (const index of [0, 1] as const) {
       send(() => {
-        const grant = holders?.[index].answer(asks[index]);
-        if (grant === undefined || entry.isCut) return;
+        const grant = allocators?.[index].answer(requests[index]);
+        if (grant === undefined || entry.isDisconnected) return;
         send(() => {
-          if (!entry.isAlive || entry.isCut) return;
+          if (!entry.isAlive || entry.isDisconnected) return;
           entry.limiter.update();
-          takers[index].receive(grant);
+          clients[index].receive(grant);
         });
       });
     }
   }
 
   function admitAll(entry: Entry): void {
-    for (let request = 0; request < entry.appetite * 20; request += 1) {
+    for (let request = 0; request < entry.demand * 20; request += 1) {
       if (entry.limiter.admit().kind === "refused") return;
       admitted += 1;
-      const endAtMs = manual.now() + source() * longestRequestMs;
+      const endAtMs = manual.now() + nextRandom() * longestRequestMs;
       running.push({ endAtMs, entry });
     }
   }
 
   function advance(): void {
     manual.advance(stepMs);
-    if (holders === undefined && manual.now() >= holderFromMs) {
-      holders = createHolders();
+    if (allocators === undefined && manual.now() >= allocatorStartMs) {
+      allocators = createAllocators();
     }
-    const due = messages.filter((message) => message.atMs <= manual.now());
+    const dueMessages = messages.filter((message) =>
+      message.atMs <= manual.now()
+    );
     messages = messages.filter((message) => message.atMs > manual.now());
-    for (const message of due) message.deliver();
+    for (const message of dueMessages) message.deliver();
     for (let index = running.length - 1; index >= 0; index -= 1) {
       const request = running[index]!;
       if (request.endAtMs > manual.now()) continue;
@@ -159,11 +167,11 @@
     }
     for (const entry of entries) {
       if (!entry.isAlive) continue;
-      if (source() < 0.15) sendAsks(entry);
+      if (nextRandom() < 0.15) sendShareRequests(entry);
       admitAll(entry);
     }
-    refilled += limit.requestsPerSecond * stepMs / 1_000;
-    lowestExcess = Math.min(lowestExcess, admitted - refilled);
+    permitted += limit.requestsPerSecond * stepMs / 1_000;
+    lowestExcess = Math.min(lowestExcess, admitted - permitted);
   }
 
   return {
@@ -171,24 +179,24 @@
     join,
     step: advance,
     apply(action: Action): void {
-      if (action.kind === "join") return join(action.appetite);
-      if (action.kind === "replace_holder") {
-        holders = undefined;
-        holderFromMs = manual.now() + action.silentMs;
+      if (action.kind === "join") return join(action.demand);
+      if (action.kind === "replace_allocator") {
+        allocators = undefined;
+        allocatorStartMs = manual.now() + action.downtimeMs;
         return;
       }
       const entry = entries[action.entry % Math.max(1, entries.length)];
       if (entry === undefined) return;
-      if (action.kind === "kill") entry.isAlive = false;
-      if (action.kind === "cut") entry.isCut = true;
-      if (action.kind === "heal") entry.isCut = false;
+      if (action.kind === "crash") entry.isAlive = false;
+      if (action.kind === "disconnect") entry.isDisconnected = true;
+      if (action.kind === "reconnect") entry.isDisconnected = false;
     },
-    sumShares: (kind: "rates" | "places") =>
+    sumShares: (kind: "rates" | "concurrency") =>
       entries.filter((entry) => entry.isAlive)
         .reduce((sum, entry) => sum + entry[kind].getShare(), 0),
     countRunning: () => running.length,
-    /** Most requests over the limit in any window up to now. */
-    measureExcess: () => admitted - refilled - lowestExcess,
+    /** Maximum number of requests above the limit in any window so far. */
+    measureExcess: () => admitted - permitted - lowestExcess,
   };
 }
 
@@ -202,7 +210,7 @@
     for (let step = 0; step < 30; step += 1) {
       cluster.step();
       expect(cluster.sumShares("rates")).toBeLessThanOrEqual(1 + 1e-9);
-      expect(cluster.sumShares("places")).toBeLessThanOrEqual(1 + 1e-9);
+      expect(cluster.sumShares("concurrency")).toBeLessThanOrEqual(1 + 1e-9);
       largestExcess = Math.max(largestExcess, cluster.measureExcess());
       mostRunning = Math.max(mostRunning, cluster.countRunning());
     }
@@ -214,19 +222,19 @@
 const action: fc.Arbitrary<Action> = fc.oneof(
   fc.record({
     kind: fc.constant("join" as const),
-    appetite: fc.double({ min: 0, max: 2, noNaN: true }),
+    demand: fc.double({ min: 0, max: 2, noNaN: true }),
   }),
   fc.record({
-    kind: fc.constantFrom("kill" as const, "cut", "heal", "wait"),
+    kind: fc.constantFrom("crash" as const, "disconnect", "reconnect", "wait"),
     entry: entryIndex,
   }),
   fc.record({
-    kind: fc.constant("replace_holder" as const),
-    silentMs: fc.integer({ min: 0, max: 5_000 }),
+    kind: fc.constant("replace_allocator" as const),
+    downtimeMs: fc.integer({ min: 0, max: 5_000 }),
   }),
 );
 
-test("entries together never pass the limit, whatever fails", () => {
+test("all entries together never exceed the limit under any failures", () => {
   fc.assert(
     fc.property(
       fc.integer(),
@@ -243,42 +251,42 @@
   );
 });
 
-test("shares follow demand and use the whole limit", () => {
+test("shares follow demand and use the entire limit", () => {
   const { cluster } = run(3, [
-    { kind: "join", appetite: 0 },
-    { kind: "kill", entry: 0 },
+    { kind: "join", demand: 0 },
+    { kind: "crash", entry: 0 },
     ...Array.from({ length: 12 }, (): Action => ({ kind: "wait", entry: 0 })),
   ]);
   const shares = cluster.entries.filter((entry) => entry.isAlive)
     .map((entry) => entry.rates.getShare());
-  const [busy = 0, other = 0, idle = 1] = shares;
-  expect(busy).toBeGreaterThan(0.4);
-  expect(other).toBeGreaterThan(0.4);
-  expect(idle).toBeLessThan(0.1);
+  const [busyShare = 0, otherBusyShare = 0, idleShare = 1] = shares;
+  expect(busyShare).toBeGreaterThan(0.4);
+  expect(otherBusyShare).toBeGreaterThan(0.4);
+  expect(idleShare).toBeLessThan(0.1);
   expect(cluster.sumShares("rates")).toBeGreaterThan(0.9);
 });
 
-test("an entry that is cut off falls back to its fixed share, then to none", () => {
+test("a disconnected entry falls back to its fixed share, then to no share", () => {
   const wait: Action = { kind: "wait", entry: 0 };
   const { cluster } = run(4, [wait, wait, wait, wait]);
   const [first] = cluster.entries;
-  cluster.apply({ kind: "cut", entry: 0 });
+  cluster.apply({ kind: "disconnect", entry: 0 });
   for (let step = 0; step < 100; step += 1) cluster.step();
-  expect(first!.rates.getShare()).toBeCloseTo(terms.fixedShare);
+  expect(first!.rates.getShare()).toBeCloseTo(leaseOptions.fixedShare);
   for (let step = 0; step < 200; step += 1) cluster.step();
   expect(first!.rates.getShare()).toBe(0);
   expect(first!.limiter.admit()).toMatchObject({ kind: "refused" });
 });
 
-test("a new holder renews shares at once and redistributes after a lease", () => {
+test("a new allocator renews shares at once and redistributes them after one lease", () => {
   const manual = clock.createManualClock(5_000);
-  const holder = shareAllocator.createShareAllocator({
-    ...terms,
+  const allocator = shareAllocator.createShareAllocator({
+    ...leaseOptions,
     clock: manual,
     term: 2,
     marginMs,
   });
-  const ask = {
+  const request = {
     entryId: "e1",
     sequence: 9,
     adopted: { term: 1, sequence: 8 },
@@ -286,16 +294,18 @@
     demand: 1,
     inUse: 0,
   };
-  expect(holder.answer(ask)?.share).toBe(0.6);
-  expect(holder.answer({ ...ask, entryId: "e2", held: 0 })?.share).toBe(0);
-  expect(holder.answer(ask)).toBeUndefined();
-  manual.advance(terms.leaseMs + marginMs);
+  expect(allocator.answer(request)?.share).toBe(0.6);
+  expect(allocator.answer({ ...request, entryId: "e2", held: 0 })?.share).toBe(
+    0,
+  );
+  expect(allocator.answer(request)).toBeUndefined();
+  manual.advance(leaseOptions.leaseMs + marginMs);
   const later = {
-    ...ask,
+    ...request,
     sequence: 10,
     adopted: { term: 2, sequence: 9 },
   };
-  expect(holder.answer(later)?.share).toBeGreaterThan(0.6);
+  expect(allocator.answer(later)?.share).toBeGreaterThan(0.6);
 });
 
 describe("a limiter", () => {
@@ -310,7 +320,7 @@
     return { limiter, manual };
   }
 
-  test("refuses at once and says when a request has room", () => {
+  test("refuses at once with the time until a request can be admitted", () => {
     const { limiter, manual } = createLimiter({ rates: 0.05, concurrency: 1 });
     for (let request = 0; request < 10; request += 1) {
       expect(limiter.admit().kind).toBe("admitted");
@@ -324,7 +334,7 @@
     expect(limiter.admit().kind).toBe("admitted");
   });
 
-  test("counts requests in progress", () => {
+  test("limits requests in flight", () => {
     const { limiter } = createLimiter({ rates: 1, concurrency: 0.05 });
     limiter.admit();
     limiter.admit();
@@ -333,7 +343,7 @@
     expect(limiter.admit().kind).toBe("admitted");
   });
 
-  test("tokens over the limit are paid before the next request", () => {
+  test("refuses requests until a token debt is repaid", () => {
     const { limiter, manual } = createLimiter({ rates: 1, concurrency: 1 });
     limiter.admit();
     limiter.recordTokens(12_000);
@@ -344,7 +354,7 @@
     expect(limiter.admit().kind).toBe("admitted");
   });
 
-  test("without a share admits nothing", () => {
+  test("admits nothing without a share", () => {
     const { limiter, manual } = createLimiter({ rates: 0, concurrency: 0 });
     manual.advance(60_000);
     expect(limiter.admit().kind).toBe("refused");
--- a/packages/coordination/src/load_estimate.ts
+++ b/packages/coordination/src/load_estimate.ts
@@ -1,15 +1,15 @@
 /**
- * Lag-compensated load of one upstream: the last report, plus what this node
- * sent since that report and has not seen finished. A report describes an
- * instant that lies `lagMs` before its arrival, and fades into the mean of
- * similar upstreams when no other comes.
+ * Lag-compensated load of one upstream: the last reported load, plus the
+ * attempts that this node dispatched after that load was measured and that have
+ * not ended. A report was measured `lagMs` before it arrived. Without a new
+ * report, the load decays exponentially towards the mean of similar upstreams.
  */
 
-/** Load as an upstream reports it. */
+/** Load reported by an upstream. */
 export interface LoadReport {
   readonly running: number;
   readonly queued: number;
-  /** Duration of the last step in microseconds; 0 when unknown. */
+  /** Duration of the last step in microseconds; 0 if unknown. */
   readonly stepUs: number;
 }
 
@@ -17,40 +17,40 @@
   /** Age of a report when it arrives, in milliseconds. */
   readonly lagMs: number;
   /**
-   * After this time without a report half of the difference between the last
-   * one and `typicalLoad` is believed, in milliseconds.
+   * Time without a report after which half of the difference between the last
+   * report and `typicalLoad` remains in the estimate, in milliseconds.
    */
   readonly halfLifeMs: number;
 }
 
-/** What an estimate is made with. */
+/** Inputs of an estimate. */
 export interface EstimateOptions extends LoadOptions {
   readonly nowMs: number;
-  /** Load of an upstream that nothing is known of. */
+  /** Load assumed for an upstream without reports. */
   readonly typicalLoad: number;
 }
 
-/** An attempt that ended within the lag of the reports. */
+/** An attempt that ended less than `lagMs` ago. */
 interface EndedAttempt {
   readonly sentAtMs: number;
   readonly endedAtMs: number;
 }
 
-/** Load of one upstream as one node knows it; changed by this module only. */
+/** Load of one upstream as seen by one node; modified only by this module. */
 export interface Load {
-  /** Requests at the upstream at `describedAtMs` that may still be there. */
+  /** Requests in the last report, less those that this node saw end since. */
   reported: number;
   queued: number;
   running: number;
   reportedAtMs: number;
-  /** Instant that the last report describes. */
+  /** Time that the last report describes. */
   measuredAtMs: number;
-  /** When the open attempts of this node were sent, the oldest first. */
+  /** Dispatch times of this node's open attempts, oldest first. */
   readonly openSentAtMs: number[];
   readonly ended: EndedAttempt[];
 }
 
-/** Creates the load of an upstream that nothing is known of. */
+/** Creates the load of an upstream without reports or attempts. */
 export function createLoad(): Load {
   return {
     reported: 0,
@@ -63,16 +63,16 @@
   };
 }
 
-/** Records that an attempt was sent. */
+/** Records that an attempt was dispatched. */
 export function recordSent(load: Load, nowMs: number): void {
   load.openSentAtMs.push(nowMs);
 }
 
 function removeOpen(load: Load, sentAtMs: number | undefined): number {
   const open = load.openSentAtMs;
-  const found = sentAtMs === undefined ? 0 : open.indexOf(sentAtMs);
-  if (found < 0 || open.length === 0) return -Infinity;
-  return open.splice(found, 1)[0] as number;
+  const index = sentAtMs === undefined ? 0 : open.indexOf(sentAtMs);
+  if (index < 0 || open.length === 0) return -Infinity;
+  return open.splice(index, 1)[0] as number;
 }
 
 function trimEnded(load: Load, describedAtMs: number): void {
@@ -81,7 +81,7 @@
   }
 }
 
-/** Records that an attempt ended; the oldest one when no instant is given. */
+/** Records the end of an attempt; of the oldest if `sentAtMs` is undefined. */
 export function recordEnded(
   load: Load,
   options: LoadOptions & {
@@ -99,7 +99,7 @@
   trimEnded(load, nowMs - lagMs);
 }
 
-/** Takes a report that arrived now. */
+/** Records a report that arrives at `nowMs`. */
 export function recordReport(
   load: Load,
   report: LoadReport,
@@ -116,7 +116,7 @@
   load.measuredAtMs = describedAtMs;
 }
 
-function countUncovered(load: Load): number {
+function countSinceReport(load: Load): number {
   const open = load.openSentAtMs;
   let first = open.length;
   while (first > 0 && (open[first - 1] as number) > load.measuredAtMs) {
@@ -125,23 +125,23 @@
   return open.length - first;
 }
 
-/** Returns how much of a value that was learnt `ageMs` ago is believed. */
+/** Returns the exponential decay factor of a value of the given age. */
 export function computeDecay(ageMs: number, halfLifeMs: number): number {
   return ageMs <= 0 ? 1 : 0.5 ** (ageMs / halfLifeMs);
 }
 
-/** Estimates the requests at the upstream at this instant. */
+/** Estimates the number of requests at the upstream at `nowMs`. */
 export function estimateLoad(load: Load, options: EstimateOptions): number {
   const { typicalLoad } = options;
-  const uncovered = countUncovered(load);
-  const covered = load.openSentAtMs.length - uncovered;
+  const sinceReport = countSinceReport(load);
+  const beforeReport = load.openSentAtMs.length - sinceReport;
   const ageMs = options.nowMs - load.reportedAtMs;
-  const trust = computeDecay(ageMs, options.halfLifeMs);
-  const believed = typicalLoad + (load.reported - typicalLoad) * trust;
-  return Math.max(believed, covered) + uncovered;
+  const decay = computeDecay(ageMs, options.halfLifeMs);
+  const estimated = typicalLoad + (load.reported - typicalLoad) * decay;
+  return Math.max(estimated, beforeReport) + sinceReport;
 }
 
-/** Estimates the requests that wait at the upstream and do not run yet. */
+/** Estimates the number of requests queued at the upstream. */
 export function estimateQueued(load: Load, options: EstimateOptions): number {
   if (load.queued === 0) return 0;
   return Math.max(0, estimateLoad(load, options) - load.running);
--- a/packages/coordination/src/load_estimate_test.ts
+++ b/packages/coordination/src/load_estimate_test.ts
@@ -6,8 +6,8 @@
   return { running, queued, stepUs: 0 };
 }
 
-describe("an estimated load", () => {
-  test("adds what was sent after the instant that the report describes", () => {
+describe("estimated load", () => {
+  test("adds attempts dispatched after the report was measured", () => {
     const load = loadEstimate.createLoad();
     loadEstimate.recordSent(load, 800);
     loadEstimate.recordSent(load, 950);
@@ -17,7 +17,7 @@
       .toBe(7);
   });
 
-  test("leaves out what the report counts and has ended since", () => {
+  test("subtracts reported attempts that have ended since", () => {
     const load = loadEstimate.createLoad();
     loadEstimate.recordSent(load, 800);
     loadEstimate.recordSent(load, 850);
@@ -30,7 +30,7 @@
       .toBe(3);
   });
 
-  test("fades into the typical load, never below the own open attempts", () => {
+  test("decays to the typical load, but not below the node's open attempts", () => {
     const load = loadEstimate.createLoad();
     loadEstimate.recordReport(load, report(40), { ...options, nowMs: 0 });
     const typical = { ...options, typicalLoad: 8 };
@@ -42,7 +42,7 @@
       .toBe(20);
   });
 
-  test("an end that belongs to no open attempt changes nothing", () => {
+  test("ignores the end of an attempt that is not open", () => {
     const load = loadEstimate.createLoad();
     loadEstimate.recordReport(load, report(5), { ...options, nowMs: 0 });
     loadEstimate.recordEnded(load, { ...options, nowMs: 1 });
--- a/packages/coordination/src/prefix_affinity.ts
+++ b/packages/coordination/src/prefix_affinity.ts
@@ -1,12 +1,12 @@
 /**
- * Which upstreams are likely to hold the start of a prompt in their cache. All
- * knowledge is a hint: cache events come late and with gaps, so an upstream may
- * have dropped what it is believed to hold, and the other way round.
+ * Hints about which upstreams probably cache the prefix of a prompt. Cache
+ * events arrive late and some are lost, so an upstream may have evicted a
+ * prefix that a hint names, or may cache a prefix without a hint.
  */
 import murmurhash from "murmurhash";
 
 export interface PrefixKeyOptions {
-  /** Prompts of different scopes never share keys. */
+  /** Prompts of different scopes have different keys. */
   readonly scope: string;
   /**
    * Characters in a block.
@@ -14,7 +14,7 @@
    */
   readonly blockLength?: number;
   /**
-   * Most blocks that are hashed.
+   * Maximum number of blocks that are hashed.
    * @default 16
    */
   readonly maxBlocks?: number;
@@ -26,8 +26,8 @@
 const defaultMaxHints = 20_000;
 
 /**
- * Computes one key for each whole block of the prompt; each key stands for all
- * blocks up to its own. A prompt shorter than a block has no key.
+ * Computes one key per complete block of the prompt. Each key identifies all
+ * blocks up to and including its own. A prompt shorter than a block has no key.
  */
 export function computePrefixKeys(
   prompt: string,
@@ -46,67 +46,67 @@
   return keys;
 }
 
-/** Upstreams that are believed to hold prefixes. */
+/** Table of the upstreams that probably cache prefixes. */
 export interface PrefixHints {
-  /** Returns the upstream believed to hold the longest part of the prefix. */
+  /** Returns the upstream that probably caches most of the prefix. */
   find(keys: readonly number[]): string | undefined;
   /** Records that an upstream served the prefix or stored these blocks. */
   recordStored(upstreamId: string, keys: readonly number[]): void;
-  /** Records that an upstream dropped these blocks. */
+  /** Records that an upstream evicted these blocks. */
   recordEvicted(upstreamId: string, keys: readonly number[]): void;
   count(): number;
 }
 
 export interface PrefixHintsOptions {
   /**
-   * Most keys that are kept; the longest unused go first.
+   * Maximum number of keys; the least recently recorded are evicted first.
    * @default 20000
    */
   readonly maxHints?: number;
 }
 
-/** Creates an empty table of hints. */
+/** Creates an empty table. */
 export function createPrefixHints(
   options: PrefixHintsOptions = {},
 ): PrefixHints {
   const maxHints = options.maxHints ?? defaultMaxHints;
-  /** Ordered by last use, the longest unused first. */
-  const holders = new Map<number, string>();
+  /** Ordered by the time of the last record, oldest first. */
+  const upstreamByKey = new Map<number, string>();
 
   return {
     find(keys) {
       for (let index = keys.length - 1; index >= 0; index -= 1) {
-        const holder = holders.get(keys[index] as number);
-        if (holder !== undefined) return holder;
+        const upstreamId = upstreamByKey.get(keys[index] as number);
+        if (upstreamId !== undefined) return upstreamId;
       }
       return undefined;
     },
     recordStored(upstreamId, keys) {
       for (const key of keys) {
-        holders.delete(key);
-        holders.set(key, upstreamId);
+        upstreamByKey.delete(key);
+        upstreamByKey.set(key, upstreamId);
       }
-      for (const key of holders.keys()) {
-        if (holders.size <= maxHints) break;
-        holders.delete(key);
+      for (const key of upstreamByKey.keys()) {
+        if (upstreamByKey.size <= maxHints) break;
+        upstreamByKey.delete(key);
       }
     },
     recordEvicted(upstreamId, keys) {
       for (const key of keys) {
-        if (holders.get(key) === upstreamId) holders.delete(key);
+        if (upstreamByKey.get(key) === upstreamId) upstreamByKey.delete(key);
       }
     },
-    count: () => holders.size,
+    count: () => upstreamByKey.size,
   };
 }
 
-/** Maps keys to members so that few keys move when members change. */
+/** Consistent hash ring: few keys move when members change. */
 export interface HashRing<T> {
-  /** Returns up to `count` distinct members for a key, the best first. */
+  /** Returns up to `count` distinct members for a key, preferred first. */
   find(key: number, count: number): readonly T[];
 }
 
-/** Creates a ring; costs a sort once, then a binary search for each key. */
+/** Creates a ring. Creation sorts all points; a lookup is a binary search. */
 export function createHashRing<T extends { readonly id: string }>(
   members: readonly T[],
   pointsPerMember = defaultPointsPerMember,
@@ -131,16 +131,16 @@
 
   return {
     find(key, count) {
-      const found: T[] = [];
+      const selected: T[] = [];
       const start = findFirst(key);
-      for (let step = 0; step < points.length; step += 1) {
-        if (found.length >= count) break;
-        const point = points[(start + step) % points.length];
-        if (point !== undefined && !found.includes(point.member)) {
-          found.push(point.member);
+      for (let offset = 0; offset < points.length; offset += 1) {
+        if (selected.length >= count) break;
+        const point = points[(start + offset) % points.length];
+        if (point !== undefined && !selected.includes(point.member)) {
+          selected.push(point.member);
         }
       }
-      return found;
+      return selected;
     },
   };
 }
--- a/packages/coordination/src/progress_watch.ts
+++ b/packages/coordination/src/progress_watch.ts
@@ -1,8 +1,9 @@
 /**
- * Finds upstreams whose connections are open and that deliver nothing. The
- * deadline between two signs of progress follows the longest recent gap of the
- * same need. An upstream that serves one attempt while others wait in its queue
- * makes progress, so that overload does not look like a stall.
+ * Detects stalled upstreams: their connections are open, but no frames arrive.
+ * The deadline between two frames is a multiple of the longest recent gap in
+ * the pool, which holds the upstreams of one model or service. Any attempt
+ * counts as progress of its upstream, even if others are queued there, so that
+ * overload is not mistaken for a stall.
  */
 import type * as clock from "./clock.ts";
 
@@ -14,40 +15,40 @@
    */
   readonly gapFactor?: number;
   /**
-   * Shortest deadline, in milliseconds.
+   * Minimum deadline, in milliseconds.
    * @default 1000
    */
   readonly minDeadlineMs?: number;
   /**
-   * Longest deadline, and the one while no gap is known, in milliseconds.
+   * Maximum deadline, also used while no gap is known, in milliseconds.
    * @default 5000
    */
   readonly maxDeadlineMs?: number;
 }
 
 export interface ProgressWatch {
-  /** Records that an attempt for `need` was sent to the upstream. */
-  start(upstreamId: string, need: string): void;
-  /** Records a frame of any attempt of the upstream. */
+  /** Records that an attempt was dispatched to the upstream of a pool. */
+  start(upstreamId: string, poolName: string): void;
+  /** Records a frame of any attempt at the upstream. */
   recordProgress(upstreamId: string): void;
   /** Records that one attempt at the upstream ended. */
   end(upstreamId: string): void;
-  /** Deadline between two signs of progress, in milliseconds. */
-  getDeadlineMs(need: string): number;
-  /** Returns each upstream that is silent past its deadline, once a stall. */
+  /** Returns the maximum gap between two frames, in milliseconds. */
+  getDeadlineMs(poolName: string): number;
+  /** Returns the upstreams past their deadline, each once per stall. */
   detectStalled(): readonly string[];
   countWatched(): number;
 }
 
-interface Watched {
-  readonly need: string;
-  open: number;
+interface WatchedUpstream {
+  readonly poolName: string;
+  openAttempts: number;
   progressAtMs: number;
   isStalled: boolean;
 }
 
 interface Gap {
-  readonly longestMs: number;
+  readonly durationMs: number;
   readonly atMs: number;
 }
 
@@ -56,7 +57,7 @@
 const defaultMaxDeadlineMs = 5_000;
 const gapHalfLifeMs = 30_000;
 
-/** Creates a watch over no upstreams. */
+/** Creates a watch without upstreams. */
 export function createProgressWatch(
   options: ProgressWatchOptions,
 ): ProgressWatch {
@@ -64,67 +65,76 @@
   const gapFactor = options.gapFactor ?? defaultGapFactor;
   const minDeadlineMs = options.minDeadlineMs ?? defaultMinDeadlineMs;
   const maxDeadlineMs = options.maxDeadlineMs ?? defaultMaxDeadlineMs;
-  /** Upstreams with open attempts, the longest silent first. */
-  const watched = new Map<string, Watched>();
+  /** Upstreams with open attempts, least recent progress first. */
+  const upstreams = new Map<string, WatchedUpstream>();
   const gaps = new Map<string, Gap>();
 
-  function readLongestMs(need: string): number {
-    const gap = gaps.get(need);
+  function computeRecentGapMs(poolName: string): number {
+    const gap = gaps.get(poolName);
     if (gap === undefined) return 0;
-    return gap.longestMs * 0.5 ** ((clock.now() - gap.atMs) / gapHalfLifeMs);
+    return gap.durationMs * 0.5 ** ((clock.now() - gap.atMs) / gapHalfLifeMs);
   }
 
-  function getDeadlineMs(need: string): number {
-    if (!gaps.has(need)) return maxDeadlineMs;
-    const deadlineMs = gapFactor * readLongestMs(need);
+  function getDeadlineMs(poolName: string): number {
+    if (!gaps.has(poolName)) return maxDeadlineMs;
+    const deadlineMs = gapFactor * computeRecentGapMs(poolName);
     return Math.min(maxDeadlineMs, Math.max(minDeadlineMs, deadlineMs));
   }
 
   return {
-    start(upstreamId, need) {
-      const entry = watched.get(upstreamId);
-      if (entry !== undefined) {
-        entry.open += 1;
+    start(upstreamId, poolName) {
+      const watched = upstreams.get(upstreamId);
+      if (watched !== undefined) {
+        watched.openAttempts += 1;
         return;
       }
       const progressAtMs = clock.now();
-      watched.set(upstreamId, {
-        need,
-        open: 1,
+      upstreams.set(upstreamId, {
+        poolName,
+        openAttempts: 1,
         progressAtMs,
         isStalled: false,
       });
     },
     recordProgress(upstreamId) {
-      const entry = watched.get(upstreamId);
-      if (entry === undefined) return;
-      const gapMs = clock.now() - entry.progressAtMs;
-      if (!entry.isStalled && gapMs >= readLongestMs(entry.need)) {
-        gaps.set(entry.need, { longestMs: gapMs, atMs: clock.now() });
+      const watched = upstreams.get(upstreamId);
+      if (watched === undefined) return;
+      const gapMs = clock.now() - watched.progressAtMs;
+      if (
+        !watched.isStalled &&
+        gapMs >= computeRecentGapMs(watched.poolName)
+      ) {
+        gaps.set(watched.poolName, {
+          durationMs: gapMs,
+          atMs: clock.now(),
+        });
       }
-      entry.progressAtMs = clock.now();
-      entry.isStalled = false;
-      watched.delete(upstreamId);
-      watched.set(upstreamId, entry);
+      watched.progressAtMs = clock.now();
+      watched.isStalled = false;
+      upstreams.delete(upstreamId);
+      upstreams.set(upstreamId, watched);
     },
     end(upstreamId) {
-      const entry = watched.get(upstreamId);
-      if (entry === undefined) return;
-      entry.open -= 1;
-      if (entry.open === 0) watched.delete(upstreamId);
+      const watched = upstreams.get(upstreamId);
+      if (watched === undefined) return;
+      watched.openAttempts -= 1;
+      if (watched.openAttempts === 0) upstreams.delete(upstreamId);
     },
     getDeadlineMs,
     detectStalled() {
       const stalled: string[] = [];
-      for (const [upstreamId, entry] of watched) {
-        const silentMs = clock.now() - entry.progressAtMs;
-        if (silentMs < minDeadlineMs) break;
-        if (entry.isStalled || silentMs < getDeadlineMs(entry.need)) continue;
-        entry.isStalled = true;
+      for (const [upstreamId, watched] of upstreams) {
+        const idleMs = clock.now() - watched.progressAtMs;
+        if (idleMs < minDeadlineMs) break;
+        if (
+          watched.isStalled ||
+          idleMs < getDeadlineMs(watched.poolName)
+        ) continue;
+        watched.isStalled = true;
         stalled.push(upstreamId);
       }
       return stalled;
     },
-    countWatched: () => watched.size,
+    countWatched: () => upstreams.size,
   };
 }
--- a/packages/coordination/src/random.ts
+++ b/packages/coordination/src/random.ts
@@ -1,6 +1,6 @@
 /**
- * Random numbers as the state machines see them: a function that is passed in,
- * so that a seed reproduces every decision.
+ * Source of random numbers for the state machines. It is passed in as a
+ * function, so that a seed reproduces every decision.
  */
 import * as distribution from "pure-rand/distribution/uniformFloat64";
 import * as generator from "pure-rand/generator/xoroshiro128plus";
--- a/packages/coordination/src/rendezvous.ts
+++ b/packages/coordination/src/rendezvous.ts
@@ -1,8 +1,8 @@
 /**
- * Weighted rendezvous hashing (highest random weight): every node computes the
- * same ranking of members for a key, and a member that leaves moves only the
- * keys that it held. Source: Thaler and Ravishankar, "Using name-based mappings
- * to increase hit rates", 1998.
+ * Weighted rendezvous hashing (highest random weight): all nodes compute an
+ * identical ranking of members for a key. If a member leaves, only the keys
+ * that were mapped to it move. Source: Thaler and Ravishankar, "Using name-based
+ * mappings to increase hit rates", 1998.
  */
 import murmurhash from "murmurhash";
 
@@ -12,7 +12,7 @@
 export interface Member {
   readonly id: string;
   /**
-   * Share of keys relative to the other members.
+   * Weight of the member; its share of the keys is proportional to it.
    * @default 1
    */
   readonly weight?: number;
@@ -25,7 +25,7 @@
   return (member.weight ?? 1) / -Math.log(unit);
 }
 
-/** Returns up to `count` members for `key`, the best first. */
+/** Returns up to `count` members for `key`, highest score first. */
 export function selectMembers<T extends Member>(
   members: readonly T[],
   options: { readonly key: string; readonly count: number },
--- a/packages/coordination/src/retry_budget.ts
+++ b/packages/coordination/src/retry_budget.ts
@@ -1,6 +1,6 @@
 /**
- * Retry budget: a token bucket that requests fill and retries empty, so that
- * retries stay a bounded share of the requests. Over any span, retries are at
+ * Retry budget: a token bucket that requests fill and retries drain, so that
+ * retries stay a bounded share of the requests. In any interval, retries are at
  * most `burst + share x requests + minPerSecond x seconds`.
  */
 import type * as clock from "./clock.ts";
@@ -8,32 +8,32 @@
 export interface RetryBudgetOptions {
   readonly clock: clock.Clock;
   /**
-   * Retries for each request.
+   * Retries permitted per request.
    * @default 0.1
    */
   readonly share?: number;
   /**
-   * Most retries that can be saved up.
+   * Maximum number of retries that can accumulate.
    * @default 20
    */
   readonly burst?: number;
   /**
-   * Retries a second that are allowed however few the requests are.
+   * Retries per second that are permitted at any request rate.
    * @default 1
    */
   readonly minPerSecond?: number;
   /**
-   * Returns the part of `burst` and `minPerSecond` that this node may use, where
-   * several share them. Default: all.
+   * Returns the fraction of `burst` and `minPerSecond` that this node may use
+   * if several nodes share them. Default: 1.
    */
   readonly readFraction?: () => number;
 }
 
 export interface RetryBudget {
   recordRequest(): void;
-  /** Takes one retry; false when the budget is used up. */
+  /** Takes one retry; returns false if the budget is exhausted. */
   take(): boolean;
-  /** Retries that could be taken now. */
+  /** Number of retries currently available. */
   count(): number;
 }
 
@@ -55,9 +55,9 @@
     const nowMs = options.clock.now();
     const seconds = (nowMs - filledAtMs) / millisecondsPerSecond;
     filledAtMs = nowMs;
-    const part = readPart();
-    const filled = tokens + added + seconds * minPerSecond * part;
-    tokens = Math.min(burst * part, filled);
+    const fraction = readPart();
+    const filled = tokens + added + seconds * minPerSecond * fraction;
+    tokens = Math.min(burst * fraction, filled);
   }
 
   return {
--- a/packages/coordination/src/retry_budget_test.ts
+++ b/packages/coordination/src/retry_budget_test.ts
@@ -2,7 +2,7 @@
 import * as clock from "./clock.ts";
 import * as retryBudget from "./retry_budget.ts";
 
-test("a fresh budget allows its burst and then a share of the requests", () => {
+test("a new budget permits its burst, then a share of the requests", () => {
   const manual = clock.createManualClock();
   const budget = retryBudget.createRetryBudget({
     clock: manual,
@@ -17,7 +17,7 @@
   expect(budget.take()).toBe(false);
 });
 
-test("retries never pass burst, share and floor", () => {
+test("retries never exceed the sum of burst, share and minimum rate", () => {
   const events = fc.array(
     fc.oneof(
       fc.constant("request" as const),
--- a/packages/coordination/src/share_allocator.ts
+++ b/packages/coordination/src/share_allocator.ts
@@ -1,88 +1,89 @@
 /**
- * Hands out leased shares of one limit to the entries that serve it. The holder
- * counts for each entry the largest share that the entry may still believe it
- * has, and never lets the sum pass 1. A share is lowered only by the entry's
- * own acknowledgement or by expiry, so lost, late, doubled and reordered
- * messages cannot raise the sum. An entry that is cut off falls back to its
- * fixed share, which stays reserved for it much longer.
+ * Allocates leased shares of one limit to the entries that enforce it. For each
+ * entry, the allocator reserves the largest share that the entry may still have
+ * in force. The sum of all reservations never exceeds 1. A reservation falls
+ * only when the entry acknowledges a later grant or when the reservation
+ * expires, so lost, late, duplicated and reordered messages cannot raise the
+ * sum. A disconnected entry falls back to its fixed share, which stays reserved
+ * for much longer than a lease.
  */
 import type * as clock from "./clock.ts";
 
-/** What an entry sends to the holder, a few times within a lease. */
+/** Request that an entry sends to the allocator several times per lease. */
 export interface ShareRequest {
-  /** Id of the entry's present run; differs after a restart. */
+  /** Id of the entry's current incarnation; changes with each restart. */
   readonly entryId: string;
-  /** Rises with every ask of the entry. */
+  /** Increases with every request of the entry. */
   readonly sequence: number;
   /** Term and sequence of the grant that the entry has in force. */
   readonly adopted: { readonly term: number; readonly sequence: number };
-  /** Share in force at the entry when it asked. */
+  /** Share in force at the entry when it sent the request. */
   readonly held: number;
-  /** Share that the entry's callers ask for; may pass 1. */
+  /** Share that the entry's callers demand; may exceed 1. */
   readonly demand: number;
-  /** Share taken by requests in progress; 0 for limits on rates. */
+  /** Share used by requests in flight; 0 for rate limits. */
   readonly inUse: number;
 }
 
 export interface ShareGrant {
-  /** Rises with every change of the holder. */
+  /** Increases with every change of the allocator. */
   readonly term: number;
-  /** Sequence of the ask that this answers. */
+  /** Sequence of the request that this grant answers. */
   readonly sequence: number;
   readonly share: number;
 }
 
-/** Times and sizes that the holder and all entries must agree on. */
+/** Lease settings that must be equal at the allocator and at all entries. */
 export interface ShareLeaseOptions {
-  /** How long a granted share lasts after its ask was sent, in milliseconds. */
+  /** Lifetime of a granted share, counted from its request, in milliseconds. */
   readonly leaseMs: number;
-  /** How long the fixed share lasts after an ask, in milliseconds. */
+  /** Lifetime of the fixed share, counted from a request, in milliseconds. */
   readonly fixedLeaseMs: number;
-  /** Share that an entry keeps when its lease lapses. */
+  /** Share that an entry keeps after its lease expires. */
   readonly fixedShare: number;
-  /** Most entries that hold a fixed share at once. */
+  /** Maximum number of entries with a fixed share. */
   readonly maxEntries: number;
 }
 
 export interface ShareAllocatorOptions extends ShareLeaseOptions {
   readonly clock: clock.Clock;
-  /** Fencing number of the duty; rises with every change of the holder. */
+  /** Fencing number of the allocator role; increases with every change. */
   readonly term: number;
   /**
-   * False only when nobody can have handed out shares of this limit before.
+   * False only if no other allocator can have granted shares of this limit.
    * @default true
    */
   readonly hasPredecessor?: boolean;
   /**
-   * Added to every lease for the drift of clocks, in milliseconds.
+   * Added to every lease to cover clock drift, in milliseconds.
    * @default 500
    */
   readonly marginMs?: number;
   /**
-   * How long work admitted under a share may go on after the share lapsed, in
-   * milliseconds; 0 for limits on rates.
+   * Maximum time that admitted requests continue after the share expires, in
+   * milliseconds; 0 for rate limits.
    * @default 0
    */
   readonly drainMs?: number;
 }
 
 export interface ShareAllocator {
-  /** Answers an ask; undefined when it is older than one already answered. */
-  answer(ask: ShareRequest): ShareGrant | undefined;
-  /** Sum of what all entries may believe; never passes 1. */
+  /** Answers a request; returns undefined for a duplicate or outdated one. */
+  answer(request: ShareRequest): ShareGrant | undefined;
+  /** Sum of the shares reserved for all entries; never exceeds 1. */
   sumReserved(): number;
 }
 
 interface Reservation {
-  /** Sequence of the grant; the grant in force is below or equal to it. */
+  /** Upper bound of the sequence of the grant that this reservation covers. */
   readonly sequence: number;
   readonly share: number;
   readonly untilMs: number;
 }
 
-interface Holding {
+interface EntryState {
   sequence: number;
-  /** True once the entry has adopted a grant of this term. */
+  /** Whether the entry has adopted a grant of this term. */
   hasAcknowledged: boolean;
   reservations: Reservation[];
   fixedShare: number;
@@ -94,42 +95,43 @@
 const defaultMarginMs = 500;
 
 /**
- * Creates the holder of one limit for one term. The holder before it must have
- * stopped; what that one granted is unknown, so for the first lease this one
- * grants no more than entries show that they hold, and for the first fixed
- * lease it reserves the fixed shares of entries that it has not heard from.
+ * Creates the allocator of one limit for one term. The previous allocator must
+ * have stopped. Its grants are unknown. Therefore, for the duration of one
+ * lease, the new allocator grants at most the share that an entry reports as
+ * held. For the duration of one fixed lease, it reserves the fixed shares of
+ * entries that have not acknowledged a grant of this term.
  */
 export function createShareAllocator(
   options: ShareAllocatorOptions,
 ): ShareAllocator {
   const { clock, leaseMs, fixedLeaseMs, maxEntries } = options;
   if (maxEntries * options.fixedShare > 1) {
-    throw new RangeError("The fixed shares of all entries together pass 1");
+    throw new RangeError("The sum of the fixed shares exceeds 1");
   }
   const marginMs = (options.marginMs ?? defaultMarginMs) +
     (options.drainMs ?? 0);
   const startedAtMs = clock.now();
   const hasPredecessor = options.hasPredecessor ?? true;
-  const holdings = new Map<string, Holding>();
+  const entries = new Map<string, EntryState>();
 
-  function reserve(holding: Holding): number {
+  function computeReserved(entry: EntryState): number {
     const nowMs = clock.now();
-    let reserved = nowMs < holding.fixedUntilMs ? holding.fixedShare : 0;
-    for (const { share, untilMs } of holding.reservations) {
+    let reserved = nowMs < entry.fixedUntilMs ? entry.fixedShare : 0;
+    for (const { share, untilMs } of entry.reservations) {
       if (nowMs < untilMs) reserved = Math.max(reserved, share);
     }
     return reserved;
   }
 
-  function removeLapsed(): void {
+  function removeExpired(): void {
     const nowMs = clock.now();
-    for (const [entryId, holding] of holdings) {
-      holding.reservations = holding.reservations.filter((reservation) =>
+    for (const [entryId, entry] of entries) {
+      entry.reservations = entry.reservations.filter((reservation) =>
         nowMs < reservation.untilMs
       );
-      const isOver = holding.reservations.length === 0 &&
-        nowMs >= holding.fixedUntilMs;
-      if (isOver) holdings.delete(entryId);
+      const isExpired = entry.reservations.length === 0 &&
+        nowMs >= entry.fixedUntilMs;
+      if (isExpired) entries.delete(entryId);
     }
   }
 
@@ -137,40 +139,40 @@
     return hasPredecessor && clock.now() - startedAtMs < leaseMs + marginMs;
   }
 
-  /** Fixed shares that entries unknown to this holder may still use. */
-  function reserveUnknown(): number {
+  /** Sums the fixed shares that entries without an acknowledgement may use. */
+  function sumUnseenReserved(): number {
     const ageMs = clock.now() - startedAtMs;
     if (!hasPredecessor || ageMs >= fixedLeaseMs + marginMs) return 0;
-    const known = [...holdings.values()].filter((holding) =>
-      holding.hasAcknowledged
+    const acknowledged = [...entries.values()].filter((entry) =>
+      entry.hasAcknowledged
     );
-    return Math.max(0, maxEntries - known.length) * options.fixedShare;
+    return Math.max(0, maxEntries - acknowledged.length) * options.fixedShare;
   }
 
-  function sumOthers(own: Holding): number {
+  function sumReservedByOthers(requester: EntryState): number {
     let sum = 0;
-    for (const holding of holdings.values()) {
-      if (holding !== own) sum += reserve(holding);
+    for (const entry of entries.values()) {
+      if (entry !== requester) sum += computeReserved(entry);
     }
     return sum;
   }
 
-  /** Each asking entry gets its fixed share and a part of the rest. */
-  function computeTarget(own: Holding): number {
+  /** Computes the fixed share plus a part of the remainder by demand. */
+  function computeTarget(requester: EntryState): number {
     const nowMs = clock.now();
-    const asking = [...holdings.values()].filter((holding) =>
-      nowMs < holding.demandUntilMs
+    const active = [...entries.values()].filter((entry) =>
+      nowMs < entry.demandUntilMs
     );
-    const demand = asking.reduce((sum, { demand }) => sum + demand, 0);
-    const weight = demand > 0 ? own.demand / demand : 1 / asking.length;
-    const fixed = holdings.size * options.fixedShare;
-    return options.fixedShare + Math.max(0, 1 - fixed) * weight;
+    const demand = active.reduce((sum, { demand }) => sum + demand, 0);
+    const weight = demand > 0 ? requester.demand / demand : 1 / active.length;
+    const fixedTotal = entries.size * options.fixedShare;
+    return options.fixedShare + Math.max(0, 1 - fixedTotal) * weight;
   }
 
-  function getHolding(ask: ShareRequest): Holding {
-    const known = holdings.get(ask.entryId);
-    if (known !== undefined) return known;
-    const created: Holding = {
+  function getOrCreateEntry(request: ShareRequest): EntryState {
+    const existing = entries.get(request.entryId);
+    if (existing !== undefined) return existing;
+    const entry: EntryState = {
       sequence: 0,
       hasAcknowledged: false,
       reservations: [],
@@ -179,67 +181,74 @@
       demand: 0,
       demandUntilMs: -Infinity,
     };
-    holdings.set(ask.entryId, created);
-    return created;
+    entries.set(request.entryId, entry);
+    return entry;
   }
 
-  /** Drops the grants that the entry has replaced by a later one. */
-  function acknowledge(holding: Holding, ask: ShareRequest): void {
-    if (ask.adopted.term !== options.term) return;
-    holding.hasAcknowledged = true;
-    holding.reservations = holding.reservations.filter((reservation) =>
-      reservation.sequence >= ask.adopted.sequence
+  /** Removes the reservations that the entry's adopted grant replaces. */
+  function acknowledge(entry: EntryState, request: ShareRequest): void {
+    if (request.adopted.term !== options.term) return;
+    entry.hasAcknowledged = true;
+    entry.reservations = entry.reservations.filter((reservation) =>
+      reservation.sequence >= request.adopted.sequence
     );
   }
 
-  function record(holding: Holding, ask: ShareRequest, share: number): void {
+  function recordGrant(
+    entry: EntryState,
+    request: ShareRequest,
+    share: number,
+  ): void {
     const nowMs = clock.now();
-    const shown = Math.max(ask.held, ask.inUse);
+    const heldShare = Math.max(request.held, request.inUse);
     const untilMs = nowMs + leaseMs + marginMs;
-    // What the entry holds now counts until it acknowledges the new grant.
-    holding.reservations.push({
-      sequence: ask.sequence - 1,
-      share: shown,
+    // The held share stays reserved until the entry acknowledges the new grant.
+    entry.reservations.push({
+      sequence: request.sequence - 1,
+      share: heldShare,
       untilMs,
     });
-    holding.reservations.push({ sequence: ask.sequence, share, untilMs });
-    holding.fixedShare = Math.min(share, options.fixedShare);
-    holding.fixedUntilMs = nowMs + fixedLeaseMs + marginMs;
+    entry.reservations.push({ sequence: request.sequence, share, untilMs });
+    entry.fixedShare = Math.min(share, options.fixedShare);
+    entry.fixedUntilMs = nowMs + fixedLeaseMs + marginMs;
   }
 
-  function hasFixedPlace(own: Holding): boolean {
-    const taken = [...holdings.values()].filter((holding) =>
-      holding !== own && holding.fixedShare > 0
+  function hasRoomForEntry(requester: EntryState): boolean {
+    const others = [...entries.values()].filter((entry) =>
+      entry !== requester && entry.fixedShare > 0
     );
-    return taken.length < maxEntries;
+    return others.length < maxEntries;
   }
 
-  function computeGrant(own: Holding, ask: ShareRequest): number {
-    const others = sumOthers(own);
-    if (!hasFixedPlace(own)) return 0;
-    if (isRecovering()) return Math.max(0, Math.min(ask.held, 1 - others));
-    // What is reserved for the entry already may be granted again.
-    const room = Math.max(reserve(own), 1 - others - reserveUnknown());
-    const wanted = Math.max(computeTarget(own), ask.inUse);
-    return Math.max(0, Math.min(wanted, room));
+  function computeGrant(requester: EntryState, request: ShareRequest): number {
+    const others = sumReservedByOthers(requester);
+    if (!hasRoomForEntry(requester)) return 0;
+    if (isRecovering()) return Math.max(0, Math.min(request.held, 1 - others));
+    // The share already reserved for the requester may be granted again.
+    const available = Math.max(
+      computeReserved(requester),
+      1 - others - sumUnseenReserved(),
+    );
+    const wanted = Math.max(computeTarget(requester), request.inUse);
+    return Math.max(0, Math.min(wanted, available));
   }
 
   return {
-    answer(ask) {
-      removeLapsed();
-      const holding = getHolding(ask);
-      if (ask.sequence <= holding.sequence) return undefined;
-      acknowledge(holding, ask);
-      holding.demand = ask.demand;
-      holding.demandUntilMs = clock.now() + leaseMs;
-      const share = computeGrant(holding, ask);
-      record(holding, ask, share);
-      holding.sequence = ask.sequence;
-      return { term: options.term, sequence: ask.sequence, share };
+    answer(request) {
+      removeExpired();
+      const entry = getOrCreateEntry(request);
+      if (request.sequence <= entry.sequence) return undefined;
+      acknowledge(entry, request);
+      entry.demand = request.demand;
+      entry.demandUntilMs = clock.now() + leaseMs;
+      const share = computeGrant(entry, request);
+      recordGrant(entry, request, share);
+      entry.sequence = request.sequence;
+      return { term: options.term, sequence: request.sequence, share };
     },
     sumReserved() {
       let sum = 0;
-      for (const holding of holdings.values()) sum += reserve(holding);
+      for (const entry of entries.values()) sum += computeReserved(entry);
       return sum;
     },
   };
--- a/packages/coordination/src/share_client.ts
+++ b/packages/coordination/src/share_client.ts
@@ -1,6 +1,7 @@
 /**
- * An entry's side of the shares of one limit: asks the holder, adopts grants in
- * order, and measures each lease from before its ask was sent.
+ * Client of the share allocator at one entry, for the shares of one limit.
+ * Adopts grants in order. Each lease is measured from the time before its
+ * request was sent, so that it expires here before it expires at the allocator.
  */
 import type * as clock from "./clock.ts";
 import type * as shareAllocator from "./share_allocator.ts";
@@ -14,34 +15,34 @@
   readonly entryId: string;
 }
 
-/** What the entry's callers use and ask for, as shares of the limit. */
+/** Shares of the limit that the entry's callers demand and use. */
 export interface ShareUse {
   readonly demand: number;
   readonly inUse: number;
 }
 
 export interface ShareClient {
-  /** Builds the next ask; it must be sent at once or not at all. */
+  /** Creates the next request; it must be sent at once or not at all. */
   createRequest(use: ShareUse): shareAllocator.ShareRequest;
-  /** Adopts a grant unless a later one is in force. */
+  /** Adopts a grant unless a newer grant has already been adopted. */
   receive(grant: shareAllocator.ShareGrant): void;
-  /** Returns the share in force now, from 0 to 1. */
+  /** Returns the share in force, from 0 to 1. */
   getShare(): number;
 }
 
-interface Adopted extends shareAllocator.ShareGrant {
+interface ActiveGrant extends shareAllocator.ShareGrant {
   readonly untilMs: number;
   readonly fixedUntilMs: number;
 }
 
-const maxAsks = 64;
+const maxPendingRequests = 64;
 
-/** Creates a taker that has no share. */
+/** Creates a client without a share. */
 export function createShareClient(options: ShareClientOptions): ShareClient {
   const { clock, leaseMs, fixedLeaseMs, fixedShare } = options;
-  const askedAtMs = new Map<number, number>();
+  const requestedAtMs = new Map<number, number>();
   let sequence = 0;
-  let adopted: Adopted = {
+  let activeGrant: ActiveGrant = {
     term: 0,
     sequence: 0,
     share: 0,
@@ -51,35 +52,36 @@
 
   function getShare(): number {
     const nowMs = clock.now();
-    if (nowMs < adopted.untilMs) return adopted.share;
-    if (nowMs >= adopted.fixedUntilMs) return 0;
-    return Math.min(adopted.share, fixedShare);
+    if (nowMs < activeGrant.untilMs) return activeGrant.share;
+    if (nowMs >= activeGrant.fixedUntilMs) return 0;
+    return Math.min(activeGrant.share, fixedShare);
   }
 
-  function isLater(grant: shareAllocator.ShareGrant): boolean {
-    return grant.term > adopted.term ||
-      (grant.term === adopted.term && grant.sequence > adopted.sequence);
+  function isNewer(grant: shareAllocator.ShareGrant): boolean {
+    return grant.term > activeGrant.term ||
+      (grant.term === activeGrant.term &&
+        grant.sequence > activeGrant.sequence);
   }
 
   return {
     createRequest({ demand, inUse }) {
       sequence += 1;
-      askedAtMs.set(sequence, clock.now());
-      askedAtMs.delete(sequence - maxAsks);
-      const { term } = adopted;
+      requestedAtMs.set(sequence, clock.now());
+      requestedAtMs.delete(sequence - maxPendingRequests);
+      const { term } = activeGrant;
       return {
         entryId: options.entryId,
         sequence,
-        adopted: { term, sequence: adopted.sequence },
+        adopted: { term, sequence: activeGrant.sequence },
         held: getShare(),
         demand,
         inUse,
       };
     },
     receive(grant) {
-      const sentAtMs = askedAtMs.get(grant.sequence);
-      if (sentAtMs === undefined || !isLater(grant)) return;
-      adopted = {
+      const sentAtMs = requestedAtMs.get(grant.sequence);
+      if (sentAtMs === undefined || !isNewer(grant)) return;
+      activeGrant = {
         ...grant,
         untilMs: sentAtMs + leaseMs,
         fixedUntilMs: sentAtMs + fixedLeaseMs,
--- a/packages/coordination/src/step_times.ts
+++ b/packages/coordination/src/step_times.ts
@@ -1,15 +1,16 @@
 /**
- * Step time of each group. All ranks of a group advance in lock-step, so one
- * slow rank shows in the reports of every rank. An old step time fades into the
- * mean of all groups, so that a group that was avoided is tried again.
+ * Step time of each group, that is, the duration of one forward pass. All ranks
+ * of a group run in lock-step, so one slow rank affects the reports of every
+ * rank. Without new reports a step time decays to the mean of all groups, so
+ * that a group which was avoided as slow is used again.
  */
 import type * as clock from "./clock.ts";
 import * as loadEstimate from "./load_estimate.ts";
 
 export interface StepTimes {
-  /** Takes a reported step time in microseconds; 0 is ignored. */
+  /** Records a reported step time in microseconds; ignores 0. */
   record(group: string, stepUs: number): void;
-  /** Returns the step time in microseconds; the mean when none is known. */
+  /** Returns the step time in microseconds; the mean if none is known. */
   read(group: string): number;
   remove(group: string): void;
 }
@@ -17,8 +18,8 @@
 export interface StepTimesOptions {
   readonly clock: clock.Clock;
   /**
-   * After this time without a report half of the difference to the mean is
-   * believed, in milliseconds.
+   * Time without a report after which half of the difference to the mean
+   * remains, in milliseconds.
    * @default 10000
    */
   readonly halfLifeMs?: number;
@@ -34,7 +35,7 @@
 const meanWeight = 0.02;
 const unknownStepUs = 1;
 
-/** Creates an empty table; every group has the same step time at first. */
+/** Creates an empty table; initially all groups have an equal step time. */
 export function createStepTimes(options: StepTimesOptions): StepTimes {
   const halfLifeMs = options.halfLifeMs ?? defaultHalfLifeMs;
   const steps = new Map<string, Step>();
@@ -44,8 +45,8 @@
     const step = steps.get(group);
     if (step === undefined) return meanUs || unknownStepUs;
     const ageMs = options.clock.now() - step.atMs;
-    const trust = loadEstimate.computeDecay(ageMs, halfLifeMs);
-    return meanUs + (step.stepUs - meanUs) * trust;
+    const decay = loadEstimate.computeDecay(ageMs, halfLifeMs);
+    return meanUs + (step.stepUs - meanUs) * decay;
   }
 
   return {
--- a/packages/coordination/src/subset.ts
+++ b/packages/coordination/src/subset.ts
@@ -1,11 +1,12 @@
 /**
- * Which upstreams a node uses: rendezvous hashing within failure domains, the
- * own domain first, then by distance. Nodes of one domain spread over all of
- * its members, and a member that leaves moves only the places that it held.
+ * Selection of the upstreams that a node uses: by distance, starting with the
+ * node's own failure domain, and by rendezvous hashing at equal distance. Nodes
+ * of one domain spread over all of its members. If a member leaves, only the
+ * nodes that used it replace it.
  */
 import * as rendezvous from "./rendezvous.ts";
 
-/** Where a node or an upstream runs. */
+/** Location of a node or an upstream. */
 export interface Location {
   readonly failureDomain: string;
   readonly region: string;
@@ -13,7 +14,7 @@
 
 export interface LocatedMember extends rendezvous.Member, Location {}
 
-/** Returns how far apart two locations are; 0 is the same failure domain. */
+/** Returns the distance of two locations; 0 within a failure domain. */
 export type MeasureDistance = (from: Location, to: Location) => number;
 
 export interface OrderOptions {
@@ -24,14 +25,14 @@
   readonly measureDistance?: MeasureDistance;
 }
 
-/** Distance 0 within a failure domain, 1 within a region, 2 beyond it. */
+/** Returns 0 within a failure domain, 1 within a region, 2 across regions. */
 export function measureByRegion(from: Location, to: Location): number {
   if (from.region !== to.region) return 2;
   return from.failureDomain === to.failureDomain ? 0 : 1;
 }
 
-/** Orders members by distance, then by rendezvous score; a prefix of the
- * result is the node's subset. */
+/** Orders members by distance, then by rendezvous score. The node's subset
+ * consists of the first members. */
 export function orderMembers<T extends LocatedMember>(
   members: readonly T[],
   options: OrderOptions,
--- a/packages/coordination/src/upstream_pool.ts
+++ b/packages/coordination/src/upstream_pool.ts
@@ -1,47 +1,48 @@
 /**
- * The upstreams that serve one need, in the order in which this node prefers
- * them. The node uses the first `size` of them; the subset grows while they
- * carry too much load or too few of them are available, and shrinks again.
+ * Pool of the upstreams that serve one model or service, in the order of this
+ * node's preference. The node uses a subset, the first `size` members. The
+ * subset grows while its mean load is too high or too few of its members are
+ * available, and shrinks at low load.
  */
 import * as prefixAffinity from "./prefix_affinity.ts";
 import type * as random from "./random.ts";
 
 export interface PoolOptions {
   readonly random: random.RandomSource;
-  /** Members that are used at low load. */
+  /** Number of members that are used at low load. */
   readonly minSize: number;
-  /** Mean load of a member above which the subset grows. */
+  /** Mean load per member above which the subset grows. */
   readonly growThreshold: number;
-  /** Pool that this one replaces; its size and mean load are kept. */
+  /** Pool to replace; its size and mean load are retained. */
   readonly previous?: Pool<unknown>;
 }
 
-/** Says whether a member may be used now. */
+/** Returns whether a member may currently be used. */
 export type IsUsable<T> = (member: T) => boolean;
 
 export interface Pool<T> {
   readonly members: readonly T[];
-  /** Ring over the members that are used at low load. */
+  /** Hash ring of the members that are used at low load. */
   readonly ring: prefixAffinity.HashRing<T>;
-  /** Members in use: the first `size` ones. */
+  /** Size of the subset, which consists of the first `size` members. */
   readonly size: number;
-  /** Moving mean of the sampled loads. */
+  /** Moving average of the sampled loads. */
   readonly meanLoad: number;
-  /** Picks a usable member at random; beyond the subset only when none is. */
+  /** Picks a random usable member; outside the subset only as a fallback. */
   pick(isUsable: IsUsable<T>): T | undefined;
   /** Records the load of a sampled member. */
   recordSample(load: number): void;
-  /** Grows or shrinks the subset, at most once an interval. */
+  /** Grows or shrinks the subset, at most once per interval. */
   resize(nowMs: number, isUsable: IsUsable<T>): void;
 }
 
 const resizeIntervalMs = 1_000;
 const sampleWeight = 0.02;
-/** The subset shrinks below this share of the load at which it grows. */
-const narrowShare = 0.25;
-const sampleTries = 8;
+/** The subset shrinks below this fraction of the growth threshold. */
+const shrinkFactor = 0.25;
+const maxSamples = 8;
 
-/** Creates a pool over ordered members; at least one. */
+/** Creates a pool of ordered members; there must be at least one member. */
 export function createPool<T extends { readonly id: string }>(
   members: readonly T[],
   options: PoolOptions,
@@ -53,14 +54,14 @@
   let meanLoad = options.previous?.meanLoad ?? 0;
   let resizedAtMs = -Infinity;
 
-  function findFrom(
-    from: number,
+  function findUsable(
+    firstIndex: number,
     count: number,
     isUsable: IsUsable<T>,
   ): T | undefined {
     const start = Math.floor(options.random() * count);
-    for (let step = 0; step < count; step += 1) {
-      const member = members[from + (start + step) % count] as T;
+    for (let offset = 0; offset < count; offset += 1) {
+      const member = members[firstIndex + (start + offset) % count] as T;
       if (isUsable(member)) return member;
     }
     return undefined;
@@ -84,13 +85,13 @@
       return meanLoad;
     },
     pick(isUsable) {
-      for (let attempt = 0; attempt < sampleTries; attempt += 1) {
+      for (let sample = 0; sample < maxSamples; sample += 1) {
         const index = Math.floor(options.random() * size);
         const member = members[index] as T;
         if (isUsable(member)) return member;
       }
-      return findFrom(0, size, isUsable) ??
-        findFrom(size, members.length - size, isUsable);
+      return findUsable(0, size, isUsable) ??
+        findUsable(size, members.length - size, isUsable);
     },
     recordSample(load) {
       meanLoad += sampleWeight * (load - meanLoad);
@@ -98,13 +99,13 @@
     resize(nowMs, isUsable) {
       if (nowMs - resizedAtMs < resizeIntervalMs) return;
       resizedAtMs = nowMs;
-      const isLoaded = meanLoad > options.growThreshold;
-      const isThinned = countUsable(isUsable) * 2 < minSize;
-      if (isLoaded || isThinned) {
+      const isOverloaded = meanLoad > options.growThreshold;
+      const hasTooFewUsable = countUsable(isUsable) * 2 < minSize;
+      if (isOverloaded || hasTooFewUsable) {
         size = Math.min(members.length, size * 2);
-      } else if (meanLoad < options.growThreshold * narrowShare) {
-        const halved = Math.max(minSize, Math.ceil(size / 2));
-        if (countUsable(isUsable) >= minSize) size = halved;
+      } else if (meanLoad < options.growThreshold * shrinkFactor) {
+        const halvedSize = Math.max(minSize, Math.ceil(size / 2));
+        if (countUsable(isUsable) >= minSize) size = halvedSize;
       }
     },
   };
