--- a/packages/coordination/src/admission.ts
+++ b/packages/coordination/src/admission.ts
@@ -1,7 +1,7 @@
 /**
  * Admission control at one upstream: refuses requests at once that could not
- * finish before their deadline. The predicted wait counts only requests of the
- * priority itself and of more urgent ones, so the least urgent requests are shed
+ * finish before their deadline. The predicted wait of a request counts only
+ * requests of equal or higher urgency, so the least urgent requests are shed
  * first.
  */
 import type * as clock from "./clock.ts";
--- a/packages/coordination/src/dispatch/work_hub.ts
+++ b/packages/coordination/src/dispatch/work_hub.ts
@@ -1,17 +1,18 @@
 /**
  * Scheduler of the hub: grants upstream slots to waiting requests, or refuses
- * the requests. One queue covers all entries, so that no entry dispatches to a rank that
- * another entry has just filled, and a refusal means that no slot is free.
+ * the requests. One queue covers all entries, so that no entry dispatches to a
+ * rank that another entry has just filled, and a refusal means that no slot is
+ * free.
  *
  * - A slot is a unit of an upstream's concurrency. Requests beyond the slots of
- *   a pool wait at the hub and not at an upstream, where they could not be
- *   ordered.
+ *   a pool wait at the hub, as they could not be ordered at an upstream.
  * - The number of running requests in a pool is limited, so that a forward pass
  *   stays below its target duration. The limit is computed from the highest
  *   recent cost per request. All streams of a group wait for its passes, so a
  *   single excess request makes all of them late.
- * - Requests that can still meet their target time precede those that cannot,
- *   then follow priority, the workspace with the fewest slots, and age.
+ * - Requests that can still meet their target time for the first event precede
+ *   those that cannot. Within both, the order is by priority, then by fewest
+ *   slots of the workspace, then by age.
  * - A request is refused at once if its predicted wait exceeds a bound. The
  *   retry delay is the predicted wait plus jitter, so that retries are spread.
  *
@@ -327,8 +328,8 @@
 
   /**
    * Refuses requests whose predicted wait is too long. The prediction uses the
-   * rate at which slots become free. Requests still in the queue got no slot: the limit is reached,
-   * or all free slots are at upstreams that the request avoids.
+   * rate at which slots become free. Requests still in the queue got no slot:
+   * the limit is reached, or the request avoids all upstreams with free slots.
    */
   function refuseLate(poolName: string, pool: PoolState): void {
     const queue = listQueue(poolName);
--- a/packages/coordination/src/health.ts
+++ b/packages/coordination/src/health.ts
@@ -74,6 +74,7 @@
   /** Records that no open attempt made progress before the deadline. */
   recordStall(upstreamId: string): void;
   getState(upstreamId: string): HealthState;
+  /** Counts the ejected and the half-open upstreams. */
   countEjected(): number;
 }
 
@@ -107,7 +108,7 @@
   const poolNames = new Map<string, Set<string>>();
   const upstreams = new Map<string, TrackedUpstream>();
 
-  function getTracked(upstreamId: string): TrackedUpstream {
+  function getOrCreateTracked(upstreamId: string): TrackedUpstream {
     let tracked = upstreams.get(upstreamId);
     if (tracked === undefined) {
       tracked = {
@@ -147,7 +148,7 @@
     upstreamId: string,
     cause: HealthChange["cause"],
   ): void {
-    const tracked = getTracked(upstreamId);
+    const tracked = getOrCreateTracked(upstreamId);
     tracked.ejectionCount += 1;
     tracked.ejectedUntilMs = clock.now() +
       computeEjectionMs(tracked.ejectionCount);
@@ -173,7 +174,7 @@
   }
 
   function recordSuccess(upstreamId: string): void {
-    const tracked = getTracked(upstreamId);
+    const tracked = getOrCreateTracked(upstreamId);
     tracked.consecutiveFailures = 0;
     tracked.failureShare *= 1 - outcomeWeight;
     tracked.outcomeCount += 1;
@@ -191,7 +192,7 @@
     upstreamId: string,
     cause: "failures" | "stall",
   ): void {
-    const tracked = getTracked(upstreamId);
+    const tracked = getOrCreateTracked(upstreamId);
     tracked.consecutiveFailures += 1;
     tracked.outcomeCount += 1;
     tracked.failureShare += outcomeWeight * (1 - tracked.failureShare);
--- a/packages/coordination/src/limits.ts
+++ b/packages/coordination/src/limits.ts
@@ -54,7 +54,7 @@
   admit(): AdmitOutcome;
   /** Must be called once per admitted request, when it ends. */
   release(): void;
-  /** Must be called just before the shares rise, but not before they fall. */
+  /** Must be called just before the shares rise; they may fall at any time. */
   update(): void;
   /** Counts tokens that were generated. */
   recordTokens(count: number): void;
@@ -167,8 +167,8 @@
       tokens += count;
       tokenBucket.add(-count);
     },
-    setLimits(next) {
-      limits = next;
+    setLimits(newLimits) {
+      limits = newLimits;
     },
     takeDemand() {
       const elapsedMs = Math.max(1, clock.now() - demandSinceMs);
--- a/packages/coordination/src/load_estimate.ts
+++ b/packages/coordination/src/load_estimate.ts
@@ -75,8 +75,8 @@
   return open.splice(index, 1)[0] as number;
 }
 
-function trimEnded(load: Load, describedAtMs: number): void {
-  while ((load.ended[0]?.endedAtMs ?? Infinity) <= describedAtMs) {
+function trimEnded(load: Load, measuredAtMs: number): void {
+  while ((load.ended[0]?.endedAtMs ?? Infinity) <= measuredAtMs) {
     load.ended.shift();
   }
 }
@@ -105,15 +105,15 @@
   report: LoadReport,
   options: LoadOptions & { readonly nowMs: number },
 ): void {
-  const describedAtMs = options.nowMs - options.lagMs;
-  trimEnded(load, describedAtMs);
+  const measuredAtMs = options.nowMs - options.lagMs;
+  trimEnded(load, measuredAtMs);
   const endedSince =
-    load.ended.filter((ended) => ended.sentAtMs <= describedAtMs).length;
+    load.ended.filter((ended) => ended.sentAtMs <= measuredAtMs).length;
   load.reported = Math.max(0, report.running + report.queued - endedSince);
   load.queued = report.queued;
   load.running = report.running;
   load.reportedAtMs = options.nowMs;
-  load.measuredAtMs = describedAtMs;
+  load.measuredAtMs = measuredAtMs;
 }
 
 function countSinceReport(load: Load): number {
--- a/packages/coordination/src/progress_watch.ts
+++ b/packages/coordination/src/progress_watch.ts
@@ -1,9 +1,9 @@
 /**
  * Detects stalled upstreams: their connections are open, but no frames arrive.
  * The deadline between two frames is a multiple of the longest recent gap in
- * the pool, which holds the upstreams of one model or service. Any attempt
- * counts as progress of its upstream, even if others are queued there, so that
- * overload is not mistaken for a stall.
+ * the pool, which holds the upstreams of one model or service. A frame of any
+ * attempt counts as progress of its upstream, even while other attempts are
+ * queued there, so that overload is not mistaken for a stall.
  */
 import type * as clock from "./clock.ts";
 
--- a/packages/coordination/src/retry_budget.ts
+++ b/packages/coordination/src/retry_budget.ts
@@ -47,15 +47,15 @@
   const share = options.share ?? defaultShare;
   const burst = options.burst ?? defaultBurst;
   const minPerSecond = options.minPerSecond ?? defaultMinPerSecond;
-  const readPart = options.readFraction ?? (() => 1);
-  let tokens = burst * readPart();
+  const readFraction = options.readFraction ?? (() => 1);
+  let tokens = burst * readFraction();
   let filledAtMs = options.clock.now();
 
   function fill(added: number): void {
     const nowMs = options.clock.now();
     const seconds = (nowMs - filledAtMs) / millisecondsPerSecond;
     filledAtMs = nowMs;
-    const fraction = readPart();
+    const fraction = readFraction();
     const filled = tokens + added + seconds * minPerSecond * fraction;
     tokens = Math.min(burst * fraction, filled);
   }
