--- a/packages/coordination/src/maps/bounded_planner.ts
+++ b/packages/coordination/src/maps/bounded_planner.ts
@@ -134,7 +134,7 @@
   layer.holders[added]!.push(rank);
 }
 
-function revertMove(layer: Layer, move: Move): void {
+function restorePlacement(layer: Layer, move: Move): void {
   const { expert, from, to, removed } = move;
   if (removed === undefined) {
     layer.ranks[to]!.pop();
@@ -249,7 +249,7 @@
       gain += loadsBefore[rank]! ** loadExponent -
         layer.loads[rank]! ** loadExponent;
     }
-    revertMove(layer, move);
+    restorePlacement(layer, move);
     for (const rank of changedRanks) layer.loads[rank] = loadsBefore[rank]!;
     return move.from === undefined ? gain : gain / 2;
   }
@@ -267,7 +267,8 @@
   }
 
   /**
-   * Takes the best move off the most loaded rank; false without enough gain.
+   * Takes the best move off the most loaded rank; returns false if no move
+   * gains enough.
    */
   #improve(layer: Layer): boolean {
     const highestLoad = Math.max(...layer.loads);
--- a/packages/coordination/src/maps/expert_map.ts
+++ b/packages/coordination/src/maps/expert_map.ts
@@ -101,7 +101,7 @@
   }
   if (new Set(experts).size < experts.length) {
     problems.push(
-      `Rank ${rank} holds an expert twice; a replica there is lost`,
+      `Rank ${rank} holds an expert twice; the duplicate wastes a slot`,
     );
   }
   const unknownExpert = experts.find((expert) =>
@@ -132,7 +132,7 @@
     if (!spansDomains || holders.length === 1 || covered.size > 1) return [];
     return [
       `All ${holders.length} replicas of expert ${expert} are in ` +
-      `failure domain ${domains[holders[0]!]}; put one into another domain`,
+      `failure domain ${domains[holders[0]!]}; move one to another domain`,
     ];
   });
 }
--- a/packages/coordination/src/maps/order_settler.ts
+++ b/packages/coordination/src/maps/order_settler.ts
@@ -1,9 +1,9 @@
 /**
- * Settles one order at one rank: sends the order until the rank accepts it, or
- * until the rank's state shows that the order took effect or no longer can. An
- * order whose reply is lost may take effect seconds later, so repeated and late
- * copies must be harmless; `switch_round.ts` explains why they are.
- * Deterministic state machine: replies and states in, effects out.
+ * Settles one order at one rank: resends the order until the rank's reply or
+ * its state shows that the order took effect or no longer can. An order whose
+ * reply is lost may take effect seconds later, so repeated and late copies must
+ * be harmless; `switch_round.ts` explains why they are. Deterministic state
+ * machine: replies and states in, effects out.
  */
 import * as rankOrders from "./rank_orders.ts";
 
--- a/packages/coordination/src/maps/planner.ts
+++ b/packages/coordination/src/maps/planner.ts
@@ -14,7 +14,9 @@
   readonly skewWeight: number;
   /** Size of one expert's weights in one layer, in bytes. */
   readonly expertBytes: number;
-  /** Rate at which the weight store serves the group. */
+  /**
+   * Rate at which the weight store serves the group, in bytes per millisecond.
+   */
   readonly bytesPerMs: number;
   /**
    * Minimum saving of a move, as a share of its layer's time, at `skewWeight`
@@ -39,7 +41,7 @@
   readonly speeds: readonly number[];
   /** Time for which the forecast is valid, in milliseconds. */
   readonly horizonMs: number;
-  /** Tokens per layer behind the forecast; determines its sampling noise. */
+  /** Tokens per layer behind the forecast; fewer tokens mean more noise. */
   readonly tokensPerLayer: number;
 }
 
@@ -59,7 +61,7 @@
   readonly rank: number;
   readonly added: number;
   readonly removed: number | undefined;
-  /** Rank that gives `added` away and takes `removed` in an exchange. */
+  /** Rank that takes `removed` for `added`; undefined without an exchange. */
   readonly exchangeRank: number | undefined;
   readonly slowest: number;
   readonly loads: number;
--- a/packages/coordination/src/maps/popularity.ts
+++ b/packages/coordination/src/maps/popularity.ts
@@ -30,7 +30,7 @@
   readonly halfLifeMs?: number;
 }
 
-/** Estimate for all layers at one time. */
+/** Snapshot of the estimate for all layers. */
 export interface Forecast {
   /**
    * Share of the layer's tokens by layer, then by expert; a layer sums to 1.
@@ -46,7 +46,7 @@
   readonly error: number;
   /** Part of the error that sampling noise explains. */
   readonly noise: number;
-  /** Weighted tokens behind the level, as a mean over layers. */
+  /** Decayed token count per layer that the level is based on. */
   readonly tokensPerLayer: number;
 }
 
@@ -107,7 +107,7 @@
     );
   }
 
-  function decayWeights(countedAtMs: number): number {
+  function applyDecay(countedAtMs: number): number {
     const elapsedMs = Math.max(0, countedAtMs - (newestMs ?? countedAtMs));
     newestMs = Math.max(newestMs ?? countedAtMs, countedAtMs);
     const factor = 2 ** (-elapsedMs / halfLifeMs);
@@ -126,9 +126,8 @@
     error += weight * (measured.error - error);
     noise += weight * (measured.noise - noise);
     hasError = true;
-    // Drift and noise are independent, so their squares add up to the square of
-    // the error. The level lags by the mean age of its counts, halfLifeMs / ln
-    // 2.
+    // The error combines independent drift and noise, so their squares add up.
+    // The level lags by the mean age of its counts (half-life / ln 2).
     const drift = Math.sqrt(Math.max(0, error ** 2 - noise ** 2));
     driftPerMs = drift * Math.LN2 / halfLifeMs;
   }
@@ -137,7 +136,7 @@
     observe(report) {
       const delta = computeDelta(report);
       if (delta === undefined) return;
-      decayWeights(report.countedAtMs);
+      applyDecay(report.countedAtMs);
       updateError(delta);
       delta.forEach((row, layer) =>
         row.forEach((count, expert) => {
@@ -174,7 +173,8 @@
 }
 
 /**
- * Returns the error of new counts against the level, and its expected noise.
+ * Returns the distance between the level and new counts, and the part of it
+ * that sampling noise explains, both as means over layers.
  */
 function measureError(
   weights: readonly (readonly number[])[],
--- a/packages/coordination/src/maps/rank_orders.ts
+++ b/packages/coordination/src/maps/rank_orders.ts
@@ -22,11 +22,11 @@
   readonly sequence: number;
   /** Version of the map in use. */
   readonly mapVersion: number;
-  /** Version whose experts are copied and ready; undefined without one. */
+  /** Version whose experts are copied and ready, if any. */
   readonly preparedVersion: number | undefined;
   /** Switch that the rank will make without a further order, if any. */
   readonly armed: ArmedSwitch | undefined;
-  /** Pass that the group does not begin before `go`; undefined without one. */
+  /** Pass that the group does not begin before `go`, if any. */
   readonly heldStep: number | undefined;
 }
 
--- a/packages/coordination/src/maps/round_leader.ts
+++ b/packages/coordination/src/maps/round_leader.ts
@@ -1,9 +1,9 @@
 /**
- * Leader of the switch rounds of one group as a state machine: report, answer
- * of the object API or timer in, effects out. Any number of leaders may run
- * concurrently; only conditional writes decide. A switch takes one write that
- * claims an epoch and one that records the decision. The leader sends commits
- * to the ranks only after the second write.
+ * Leader of the switch rounds in `round_messages.ts` as a state machine:
+ * report, answer of the object API or timer in, effects out. Any number of
+ * leaders may run concurrently; only conditional writes decide. A switch takes
+ * one write that claims an epoch and one that records the decision. The leader
+ * sends commits to the ranks only after the second write.
  */
 import * as mapSchedule from "./map_schedule.ts";
 import type * as roundMessages from "./round_messages.ts";
@@ -138,7 +138,7 @@
       if (state.phase !== "idle") return { state, effects: [] };
       return readRecord({ ...state, proposal: event.map });
     case "resend":
-      return resendMessages(state);
+      return sendPendingMessages(state);
     case "deadline":
       if (!abortablePhases.includes(state.phase)) return { state, effects: [] };
       return abortRound(state, `Ranks did not answer while ${state.phase}`);
@@ -275,7 +275,7 @@
   );
 }
 
-function resendMessages(state: LeaderState): LeaderResult {
+function sendPendingMessages(state: LeaderState): LeaderResult {
   switch (state.phase) {
     case "idle":
       return { state, effects: sendToAll(state, { kind: "ask" }) };
@@ -381,7 +381,7 @@
   report: roundMessages.RankReport,
 ): LeaderResult {
   const reports = replaceReport(state.reports, report);
-  const effects = forwardCommits(reports);
+  const effects = sendMissedCommits(reports);
   const isUnsettled = report.phase === "recovering"
     ? report.epoch !== undefined
     : report.phase === "holding" || report.phase === "prepared";
@@ -395,7 +395,7 @@
   };
 }
 
-function forwardCommits(reports: Reports): LeaderEffect[] {
+function sendMissedCommits(reports: Reports): LeaderEffect[] {
   const knownReports = reports.filter((report) => report !== undefined);
   const committedEpochs = new Set(
     knownReports.filter(({ phase }) => phase === "committed")
--- a/packages/coordination/src/maps/round_messages.ts
+++ b/packages/coordination/src/maps/round_messages.ts
@@ -1,9 +1,10 @@
 /**
- * Messages of a switch round that is decided by a record in the object API. A
- * leader claims an epoch with a conditional write, settles all ranks on the
- * recorded schedule, has them stage the new map and hold before one step,
- * records the switch with a second conditional write, and only then sends the
- * commit to the ranks.
+ * Messages of a switch round that is decided by a record in the object API,
+ * unlike the rounds of `switch_round.ts`, which need only the ranks. A leader
+ * claims an epoch with a conditional write, settles all ranks on the recorded
+ * schedule, has them stage the new map and hold before one step, records the
+ * switch with a second conditional write, and only then sends the commit to the
+ * ranks.
  */
 import type * as mapSchedule from "./map_schedule.ts";
 
--- a/packages/coordination/src/maps/round_rank.ts
+++ b/packages/coordination/src/maps/round_rank.ts
@@ -1,6 +1,6 @@
 /**
- * Rank side of a switch round as a state machine: message or engine event in,
- * effects out.
+ * Rank side of the switch rounds in `round_messages.ts` as a state machine:
+ * message or engine event in, effects out.
  *
  * Rules that make a switch safe:
  * - A rank that reported `prepared` does not run the promised step until it
@@ -173,20 +173,20 @@
     case "abort":
       return applyAbort(state);
     case "staged":
-      return changePhase(state, { from: "staging", to: "staged" });
+      return updatePhase(state, { from: "staging", to: "staged" });
     case "stage_failed":
-      return changePhase(state, { from: "staging", to: "refused" });
+      return updatePhase(state, { from: "staging", to: "refused" });
     case "held":
-      return changePhase(state, { from: "holding", to: "prepared" });
+      return updatePhase(state, { from: "holding", to: "prepared" });
     case "hold_missed":
-      return changePhase(state, { from: "holding", to: "refused" });
+      return updatePhase(state, { from: "holding", to: "refused" });
     case "installed":
       if (state.phase === "recovering") return { state, effects: [] };
       return { state: { ...state, isInstalled: true }, effects: [reply] };
   }
 }
 
-function changePhase(
+function updatePhase(
   state: RankState,
   { from, to }: {
     readonly from: roundMessages.RankPhase;
--- a/packages/coordination/src/maps/switch_round.ts
+++ b/packages/coordination/src/maps/switch_round.ts
@@ -22,7 +22,7 @@
  *   after some rank was observed to be armed with V: in an earlier read, the
  *   rank may not have prepared V yet.
  * - A hold does not expire. A leader that finds an abandoned hold ends it by
- *   the rules above. Each hold belongs to the versions of the leader that
+ *   the rules above. Each hold protects switches to versions of the leader that
  *   placed it, and the rank at which it is found identifies the rank of that
  *   leader. A leader does not place holds at its own rank: a stalled machine
  *   would then leave a hold that no other leader can end.
@@ -42,8 +42,8 @@
   readonly computeLeadPasses: (mostSendAttempts: number) => number;
   /**
    * Highest pass that this leader may have held, also before a restart; the
-   * round holds only passes above it. A process without this record passes the
-   * first pass that it observes plus `maxAheadPasses`.
+   * round holds only passes above it. A process that has no record of earlier
+   * holds sets the first pass that it observes plus `maxAheadPasses`.
    */
   readonly lastHeldStep: number;
   /**
