--- a/packages/coordination/src/maps/planner.ts
+++ b/packages/coordination/src/maps/planner.ts
@@ -63,7 +63,9 @@
   readonly removed: number | undefined;
   /** Rank that takes `removed` for `added`; undefined without an exchange. */
   readonly exchangeRank: number | undefined;
+  /** Time of the slowest rank after the move. */
   readonly slowest: number;
+  /** Number of experts that ranks must load. */
   readonly loads: number;
 }
 
--- a/packages/coordination/src/maps/switch_round.ts
+++ b/packages/coordination/src/maps/switch_round.ts
@@ -43,7 +43,7 @@
   /**
    * Highest pass that this leader may have held, also before a restart; the
    * round holds only passes above it. A process that has no record of earlier
-   * holds sets the first pass that it observes plus `maxAheadPasses`.
+   * holds uses the first pass that it observes plus `maxAheadPasses`.
    */
   readonly lastHeldStep: number;
   /**
