--- a/packages/anvilhinge/src/explain/log_line.ts
+++ b/packages/anvilhinge/src/explain/log_line.ts
@@ -1,6 +1,6 @@
-/** Reads log lines of anvilhinge, also with a prefix of a log collector. */
+/** Parses log lines of anvilhinge, with or without a log collector's prefix. */
 
-/** A line with what the reader of a story needs. */
+/** Parsed log line, reduced to what a request report needs. */
 export interface LogLine {
   readonly atMs: number;
   readonly hostname: string;
@@ -9,7 +9,7 @@
   readonly fields: Readonly<Record<string, unknown>>;
 }
 
-/** Parses a line; undefined for a line that anvilhinge did not write. */
+/** Parses a line; undefined if anvilhinge did not write it. */
 export function parseLogLine(text: string): LogLine | undefined {
   const start = text.indexOf("{");
   const parsed = start < 0 ? undefined : parseObject(text.slice(start));
@@ -27,7 +27,7 @@
   try {
     return JSON.parse(text) as Record<string, unknown>;
   } catch {
-    // A line that was cut, or of another program.
+    // The line was truncated or comes from another program.
     return undefined;
   }
 }
--- a/packages/anvilhinge/src/explain/request_report.ts
+++ b/packages/anvilhinge/src/explain/request_report.ts
@@ -1,17 +1,17 @@
 /**
- * The story of one request from the log lines of several processes: what became
- * of it, and what its processes noted around that time.
+ * Report on one request from the log lines of several processes: its attempts
+ * and outcome, and related events that were logged around the same time.
  */
 import * as logLine from "./log_line.ts";
 
-/** What is told of one request. */
+/** Report on one request. */
 export interface RequestReport {
   readonly text: string;
-  /** Lines of the request itself; 0 = nothing is known of it. */
+  /** Number of log lines of the request itself; 0 = none were found. */
   readonly found: number;
 }
 
-/** Times of a request on the clock of the process that served it. */
+/** Start and end of a request on the clock of the process that served it. */
 interface Span {
   readonly startMs: number;
   readonly endMs: number;
@@ -24,24 +24,27 @@
   readonly outcome?: string;
 }
 
-/** Causes show a little before what they cause; clocks differ. */
+/**
+ * Limits of the time before and after a request in which related lines are
+ * searched. Causes are logged shortly before their effects, and clocks differ.
+ */
 const beforeMs = 3_000;
 const afterMs = 1_000;
-const maxAround = 40;
+const maxRelatedLines = 40;
 
-/** Messages that tell of single requests only, or come all the time. */
-const ordinaryMessages: readonly string[] = [
+/** Messages about single requests, which are left out of related lines. */
+const requestMessages: readonly string[] = [
   "[entry] Request done",
   "[entry] Refused a request",
 ];
 
-/** Tells what the lines say of a request. */
+/** Describes a request from log lines. */
 export function describeRequest(
   lines: Iterable<string>,
   requestId: string,
 ): RequestReport {
   const parsed = [...lines].flatMap((line) => logLine.parseLogLine(line) ?? [])
-    .sort((one, other) => one.atMs - other.atMs);
+    .sort((a, b) => a.atMs - b.atMs);
   const own = parsed.filter(({ fields }) => fields["requestId"] === requestId);
   const parts = own.map((line) => describeLine(line, parsed));
   return { text: parts.join("\n"), found: own.length };
@@ -53,12 +56,12 @@
 ): string {
   const span = findSpan(line);
   const attempts = listAttempts(line);
-  const around = listAround(line, { all, span, attempts });
+  const related = listRelatedLines(line, { all, span, attempts });
   return [
     `${formatTime(span.startMs)} ${line.hostname} ${describeInput(line)}`,
     ...attempts.map(describeAttempt),
     describeEnd(line),
-    ...(around.length === 0 ? [] : ["Around it:", ...around]),
+    ...(related.length === 0 ? [] : ["Related log lines:", ...related]),
     "",
   ].join("\n");
 }
@@ -74,22 +77,22 @@
 }
 
 function describeInput({ fields }: logLine.LogLine): string {
-  const known = [
+  const details = [
     ["route", fields["route"]],
     ["workspace", fields["workspace"]],
     ["priority", fields["priority"]],
     ["time left in ms", fields["leftMs"]],
-    ["settings", fields["settingsVersion"]],
-    ["age of the view in ms", fields["viewAgeMs"]],
+    ["settings version", fields["settingsVersion"]],
+    ["age of the routing view in ms", fields["viewAgeMs"]],
   ].filter(([, value]) => value !== undefined && value !== "");
-  const details = known.map(([name, value]) => `${name} ${value}`).join(", ");
-  return `request ${fields["requestId"]}: ${details}`;
+  const text = details.map(([name, value]) => `${name} ${value}`).join(", ");
+  return `request ${fields["requestId"]}: ${text}`;
 }
 
 function describeAttempt(attempt: Attempt, index: number): string {
   const { upstream, sentMs, endedMs, outcome } = attempt;
   const end = outcome === undefined
-    ? "no end noted"
+    ? "no end logged"
     : `${outcome} at ${endedMs} ms`;
   return `  attempt ${index + 1}: ${upstream}, sent at ${sentMs} ms, ${end}`;
 }
@@ -98,7 +101,7 @@
   const { status, reason, tookMs, waitedMs, decidedBy, firstMs } = fields;
   const waited = decidedBy === undefined
     ? ""
-    : `; waited ${waitedMs} ms for places, the ${decidedBy} decided last`;
+    : `; waited ${waitedMs} ms for slots, last decided by the ${decidedBy}`;
   const first = firstMs === undefined ? "" : `, first part at ${firstMs} ms`;
   const after = tookMs === undefined ? "" : ` after ${tookMs} ms`;
   const why = reason === undefined ? "" : `: ${reason}`;
@@ -106,10 +109,11 @@
 }
 
 /**
- * Lists what the same process noted, and what any noted of the upstreams, of
- * their group and of the load by which the hub decides.
+ * Lists other log lines around the time of the request: all lines of the same
+ * process, and lines of any process about the attempted upstreams, about groups
+ * and about the load of the pools, on which the hub's decisions are based.
  */
-function listAround(
+function listRelatedLines(
   own: logLine.LogLine,
   { all, span, attempts }: {
     readonly all: readonly logLine.LogLine[];
@@ -118,24 +122,24 @@
   },
 ): readonly string[] {
   const upstreams = new Set(attempts.map(({ upstream }) => upstream));
-  const near = all.filter(({ atMs, hostname, message, fields }) =>
+  const related = all.filter(({ atMs, hostname, message, fields }) =>
     atMs >= span.startMs - beforeMs && atMs <= span.endMs + afterMs &&
-    !ordinaryMessages.includes(message) &&
+    !requestMessages.includes(message) &&
     (hostname === own.hostname || fields["group"] !== undefined ||
-      isLoad(fields["pools"]) ||
+      isPoolLoad(fields["pools"]) ||
       upstreams.has(String(fields["upstream"])))
   );
-  const shown = near.slice(0, maxAround).map(({ atMs, ...line }) =>
+  const shown = related.slice(0, maxRelatedLines).map(({ atMs, ...line }) =>
     `  ${formatTime(atMs)} ${line.hostname} ${line.message} ${
       JSON.stringify(line.fields)
     }`
   );
-  const left = near.length - shown.length;
-  return left === 0 ? shown : [...shown, `  and ${left} lines more`];
+  const omitted = related.length - shown.length;
+  return omitted === 0 ? shown : [...shown, `  and ${omitted} more lines`];
 }
 
-/** Whether a line tells the load that some hub knows. */
-function isLoad(pools: unknown): boolean {
+/** Whether the value is a load report of at least one pool. */
+function isPoolLoad(pools: unknown): boolean {
   return Array.isArray(pools) && pools.length > 0;
 }
 
--- a/packages/anvilhinge/src/explain/request_report_test.ts
+++ b/packages/anvilhinge/src/explain/request_report_test.ts
@@ -41,42 +41,42 @@
   waitedMs: 2,
 });
 
-test("tells attempts and end of a request, with its times", () => {
-  const told = requestReport.describeRequest([done], "q1");
-  expect(told).toEqual({
+test("reports the attempts and outcome of a request with times", () => {
+  const report = requestReport.describeRequest([done], "q1");
+  expect(report).toEqual({
     found: 1,
     text: [
       "2026-01-18T12:46:22.000Z front-1 request q1: route r1, workspace w1, " +
-      "priority 5, time left in ms 1980, settings 40",
+      "priority 5, time left in ms 1980, settings version 40",
       "  attempt 1: i-1, sent at 3 ms, refused at 90 ms",
       "  attempt 2: i-2, sent at 95 ms, lost at 400 ms",
       "  answer 502 after 400 ms: Contact broke: reset; waited 2 ms for " +
-      "places, the hub decided last",
+      "slots, last decided by the hub",
       "",
     ].join("\n"),
   });
 });
 
-test("shows what processes noted around it, in order of time", () => {
-  const gone = createLine("[entry] Upstream gone", {
+test("lists related lines of all processes in order of time", () => {
+  const upstreamGone = createLine("[entry] Upstream gone", {
     atMs: 2_300,
     hostname: "front-9",
     upstream: "i-2",
   });
-  const lost = createLine("[entry] Lost contact with the store", {
+  const storeLost = createLine("[entry] Lost contact with the store", {
     atMs: 1_000,
   });
-  const hold = createLine("[agent] Ends a hold that nobody follows", {
+  const holdEnded = createLine("[agent] Ending an abandoned hold", {
     atMs: 1_500,
     hostname: "side-1",
     group: "g0",
   });
-  const load = createLine("[entry] Load of the pools", {
+  const poolLoad = createLine("[entry] Load of the pools", {
     atMs: 2_000,
     hostname: "front-8",
     pools: [{ pool: "p", waiting: 3 }],
   });
-  const others = [
+  const unrelated = [
     createLine("[entry] Upstream gone", {
       atMs: 2_300,
       hostname: "front-9",
@@ -87,20 +87,20 @@
     createLine("[entry] Stopped", { atMs: 9_000 }),
   ];
   const { text } = requestReport.describeRequest(
-    [gone, ...others, done, hold, load, lost],
+    [upstreamGone, ...unrelated, done, holdEnded, poolLoad, storeLost],
     "q1",
   );
-  const around = text.split("Around it:\n")[1]?.trimEnd().split("\n");
-  expect(around?.map((line) => line.trim().split(" ").slice(1, 5).join(" ")))
+  const related = text.split("Related log lines:\n")[1]?.trimEnd().split("\n");
+  expect(related?.map((line) => line.trim().split(" ").slice(1, 5).join(" ")))
     .toEqual([
       "front-1 [entry] Lost contact",
-      "side-1 [agent] Ends a",
+      "side-1 [agent] Ending an",
       "front-8 [entry] Load of",
       "front-9 [entry] Upstream gone",
     ]);
 });
 
-test("reads lines behind the prefix of a collector, and skips others", () => {
+test("parses lines with a collector's prefix and skips foreign lines", () => {
   const lines = ["boot", "{broken", '{"name":"other"}', `12.5 host-a ${done}`];
   expect(requestReport.describeRequest(lines, "q1").found).toBe(1);
   expect(requestReport.describeRequest(lines, "q9")).toEqual({
@@ -109,7 +109,7 @@
   });
 });
 
-test("tells a refusal at the door with the age of the view", () => {
+test("reports a request that the entry refused, with the view's age", () => {
   const refused = createLine("[entry] Refused a request", {
     atMs: 0,
     requestId: "q3",
@@ -118,7 +118,8 @@
     viewAgeMs: 355,
   });
   expect(requestReport.describeRequest([refused], "q3").text).toBe([
-    "2026-01-18T12:46:20.000Z front-1 request q3: age of the view in ms 355",
+    "2026-01-18T12:46:20.000Z front-1 request q3: " +
+    "age of the routing view in ms 355",
     "  answer 401: The key is not known",
     "",
   ].join("\n"));
--- a/packages/anvilhinge/src/ports/caller_dialect.ts
+++ b/packages/anvilhinge/src/ports/caller_dialect.ts
@@ -1,30 +1,30 @@
-/** How callers of routed services put their requests: what their headers say. */
+/** Decoding of the request headers that callers of routed services send. */
 import type * as upstreamDialect from "./upstream_dialect.ts";
 
-/** What the headers of a request say, each in a field of its own. */
+/** Decoded headers of a request. */
 export interface CallerHeaders {
-  /** Id of this sending; undefined when it is missing. */
+  /** Id of the request; undefined when the caller sent none. */
   readonly requestId: string | undefined;
-  /** Key of the workspace; undefined when there is none. */
+  /** Access key of the workspace; undefined when the caller sent none. */
   readonly key: string | undefined;
-  /** Time that the caller will wait, in milliseconds. */
+  /** Time that the caller is still going to wait, in milliseconds. */
   readonly leftMs: number | undefined;
-  /** Id of the last event that the caller has. */
+  /** Id of the last event that the caller received, to resume a stream. */
   readonly resumeAfter: string | undefined;
   readonly size: RequestSize | undefined;
-  /** Headers that go on to the upstream. */
+  /** Headers that are forwarded to the upstream. */
   readonly forwarded: upstreamDialect.HeaderPairs;
 }
 
-/** What a request to a model says of its size, in tokens. */
+/** Size of a request to a model as declared by the caller, in tokens. */
 export interface RequestSize {
   readonly promptTokens: number;
   readonly maxAnswerTokens: number;
-  /** The caller's estimate; right in the median and often far off. */
+  /** The caller's estimate; accurate in the median but often far off. */
   readonly answerTokensHint: number | undefined;
 }
 
 export interface CallerDialect {
-  /** Decodes headers, given as names and values in turn. */
+  /** Decodes raw headers, a flat list of alternating names and values. */
   decodeHeaders(raw: readonly string[]): CallerHeaders;
 }
--- a/packages/anvilhinge/src/ports/engine.ts
+++ b/packages/anvilhinge/src/ports/engine.ts
@@ -1,15 +1,15 @@
 /**
- * What an agent asks of the process that it stands beside: a rank of a model
- * group, or a replica of a plain service.
+ * Interface between an agent and the local process that it fronts: a rank of a
+ * model group, or a replica of a plain service.
  */
 
-/** Status and headers of an answer, known before its first byte. */
+/** Status and headers of an answer, available before the first body byte. */
 export interface AnswerHead {
   readonly status: number;
   readonly headers: readonly (readonly [name: string, value: string])[];
   /**
-   * True when only the end of the connection ends the body: nobody can tell
-   * whether it is whole.
+   * True when only the close of the connection ends the body, so that a
+   * truncated body can't be detected.
    */
   readonly isCloseDelimited?: boolean;
 }
@@ -18,7 +18,7 @@
   | { readonly kind: "head"; readonly head: AnswerHead }
   | { readonly kind: "data"; readonly data: Uint8Array }
   | { readonly kind: "end" }
-  /** `started` is false only when the work surely did not begin. */
+  /** `started` is false only if the work certainly did not begin. */
   | {
     readonly kind: "failed";
     readonly message: string;
@@ -35,14 +35,14 @@
   readonly body: Uint8Array;
   /** 0 is the most urgent. */
   readonly priority: number;
-  /** Time left in milliseconds. */
+  /** Time left until the deadline, in milliseconds. */
   readonly deadlineMs: number;
   /** Cancels the work. */
   readonly signal: AbortSignal;
   readonly onEvent: (event: EngineEvent) => void;
 }
 
-/** Load as the engine reports it; lags behind the truth. */
+/** Load that the engine last reported, which may be out of date. */
 export interface EngineLoad {
   readonly running: number;
   readonly queued: number;
@@ -51,7 +51,7 @@
 }
 
 export interface Engine {
-  /** Starts work; delivers `head`, `data`..., then one `end` or `failed`. */
+  /** Starts work; emits `head`, `data`..., then either `end` or `failed`. */
   start(request: EngineRequest): void;
   readLoad(): EngineLoad;
 }
--- a/packages/anvilhinge/src/ports/engine_orders.ts
+++ b/packages/anvilhinge/src/ports/engine_orders.ts
@@ -1,12 +1,12 @@
-/** Orders to an engine, as the agent beside it gives them. */
+/** Orders from an agent to its local engine. */
 import type * as fencing from "@anvilhinge/coordination/fencing";
 
-/** What an engine can be ordered to do. */
+/** Change to an engine's configuration. */
 export type EngineOrder =
   | {
     readonly kind: "install_map";
     readonly version: number;
-    /** Ranks by expert number. */
+    /** Ranks that hold each expert, indexed by expert number. */
     readonly holders: readonly (readonly number[])[];
   }
   | {
@@ -16,7 +16,7 @@
   }
   | { readonly kind: "set_role"; readonly role: string };
 
-/** What an engine has in force; its form is the engine's own. */
+/** Current configuration of an engine, in an engine-specific format. */
 export interface EngineState {
   readonly json: string;
 }
--- a/packages/anvilhinge/src/ports/frames.ts
+++ b/packages/anvilhinge/src/ports/frames.ts
@@ -1,11 +1,11 @@
 /**
- * The messages between an entry and an agent, as the state machines see them.
- * A frame belongs to one attempt of one request; sequence numbers count from 0
- * without gaps within an attempt.
+ * Messages between an entry and an agent in the form that the state machines
+ * use. A frame belongs to one attempt of one request; sequence numbers start at
+ * 0 and have no gaps within an attempt.
  */
 import type * as engine from "./engine.ts";
 
-/** Why an agent did not start an attempt, and never will. */
+/** Why an agent refused an attempt, which it will never start. */
 export type RefusalReason =
   | "wrong_epoch"
   | "leaving"
@@ -14,11 +14,11 @@
   | "sealed"
   | "overloaded"
   | "wrong_incarnation"
-  /** The address belongs to another group or upstream now. */
+  /** The address now belongs to another group or upstream. */
   | "wrong_group"
-  /** The process beside the agent took no work. */
+  /** The local process that the agent fronts accepted no work. */
   | "engine_unavailable"
-  /** The call arrived after the instant by which it had to start. */
+  /** The call arrived after the latest time at which it could start. */
   | "expired";
 
 export type FrameBody =
@@ -30,7 +30,7 @@
   | { readonly kind: "chunk"; readonly data: Uint8Array }
   | {
     readonly kind: "end";
-    /** Number of frames of the attempt, this one included. */
+    /** Number of frames of the attempt, including the `end` frame. */
     readonly frameCount: number;
     readonly load: engine.EngineLoad;
   }
@@ -47,7 +47,7 @@
     readonly message: string;
     readonly load: engine.EngineLoad;
   }
-  /** Answer to a resume: this agent holds no such attempt. */
+  /** Answer to a resume request: the agent does not hold the attempt. */
   | { readonly kind: "not_held" };
 
 export interface Frame {
@@ -57,7 +57,7 @@
   readonly body: FrameBody;
 }
 
-/** What a request asks an upstream to do. */
+/** Payload of a request to an upstream. */
 export type Work =
   | {
     readonly kind: "model";
@@ -73,7 +73,7 @@
     readonly body: Uint8Array;
   };
 
-/** One attempt to run a request at one upstream. */
+/** One dispatch of a request to one upstream. */
 export interface Attempt {
   readonly requestId: string;
   readonly attemptId: string;
@@ -84,26 +84,26 @@
   readonly rank: number;
   /** 0 is the most urgent. */
   readonly priority: number;
-  /** Time left in milliseconds. */
+  /** Time left until the deadline, in milliseconds. */
   readonly deadlineMs: number;
-  /** Incarnation of the agent that may run it; all others refuse. */
+  /** Incarnation of the agent that may run the attempt; others refuse it. */
   readonly incarnation: string;
-  /** Instant on the agent's clock after which it must not start. */
+  /** Time on the agent's clock after which the agent refuses to start. */
   readonly startByMs: number;
-  /** False when a second run would have a second effect. */
+  /** False if a second run would repeat the effect (not idempotent). */
   readonly isRepeatable: boolean;
   readonly work: Work;
-  /** Id of the event after which a stream goes on. */
+  /** Id of the event after which a stream resumes. */
   readonly resumeAfter?: string;
 }
 
-/** An agent's incarnation and its clock, on which attempts expire. */
+/** An agent's incarnation and clock reading, from which start limits derive. */
 export interface AgentDescription {
   readonly incarnation: string;
   readonly nowMs: number;
 }
 
-/** Names one attempt together with the limits of its start. */
+/** Identifies an attempt and the limits within which it could start. */
 export interface SealRequest {
   readonly requestId: string;
   readonly attemptId: string;
@@ -112,10 +112,11 @@
 }
 
 /**
- * What a seal found. `sealed`: it did not start and never will. `unknown`: the
- * agent has restarted, or its record is past retention.
+ * Outcome of sealing an attempt, which prevents a start if there was none yet.
+ * `sealed`: the attempt did not start and never will. `unknown`: the agent has
+ * restarted, or its record of the attempt is past retention.
  */
 export type SealOutcome = "sealed" | "running" | "finished" | "unknown";
 
-/** How long after its description an attempt may start, in milliseconds. */
+/** Longest time from an agent's description to the start of an attempt. */
 export const startWindowMs = 10_000;
--- a/packages/anvilhinge/src/ports/instance_list.ts
+++ b/packages/anvilhinge/src/ports/instance_list.ts
@@ -1,15 +1,15 @@
-/** The platform's list of instances, which lags behind the truth. */
+/** The platform's list of instances, which lags behind the actual state. */
 import type * as objectStore from "./object_store.ts";
 
-/** One process of the system as the platform sees it. */
+/** One process of the system as registered with the platform. */
 export interface Instance {
   readonly id: string;
   readonly role: "entry" | "agent";
-  /** Half that runs the instance. */
+  /** Half that operates the instance. */
   readonly half: string;
   /** Address as `host:port`. */
   readonly address: string;
-  /** Address for other entries, as `host:port`; entries only. */
+  /** Address that other entries use, as `host:port`; entries only. */
   readonly controlAddress?: string;
   readonly failureDomain: string;
   readonly state: "live" | "leaving";
--- a/packages/anvilhinge/src/ports/object_store.ts
+++ b/packages/anvilhinge/src/ports/object_store.ts
@@ -1,7 +1,8 @@
 /**
- * The platform's object API as the system needs it: versioned values under
- * keys, conditional updates and watches. Versions are positive integers that
- * rise over the whole store, so a later write of any key has a higher version.
+ * Interface of the external object store (the platform's object API): versioned
+ * values under keys, conditional updates and watches. Versions are positive
+ * integers that increase across the whole store, so a later write of any key
+ * has a higher version.
  */
 import type * as versionedStore from "@anvilhinge/coordination/versioned_store";
 import type * as scheduler from "./scheduler.ts";
@@ -15,12 +16,12 @@
   | {
     readonly kind: "listed";
     readonly objects: readonly StoredObject[];
-    /** Version of the store at the time of the list; a watch may start here. */
+    /** Store version of the listing; a watch may start from it. */
     readonly version: number;
   }
   | Unavailable;
 
-/** Condition of a write: the version that the key must have; 0 = must not exist. */
+/** The version that the key must have for a write; 0 = must not exist. */
 export interface WriteCondition {
   readonly ifVersion: number;
 }
@@ -28,29 +29,30 @@
 export type WatchEvent =
   | { readonly kind: "changed"; readonly object: StoredObject }
   | { readonly kind: "removed"; readonly key: string; readonly version: number }
-  /** Nothing newer existed at an instant of the own clock. */
+  /** No newer event existed at `asOfMs` on the local clock. */
   | { readonly kind: "confirmed"; readonly asOfMs: number }
-  /** The watch ended; the watcher starts a new one. */
+  /** The watch ended; the watcher has to start a new watch. */
   | {
     readonly kind: "closed";
     readonly message: string;
-    /** Version from which a new watch may go on; undefined = list again. */
+    /** Version from which a new watch can resume; undefined = list again. */
     readonly resumeFrom?: number;
   };
 
 export interface WatchOptions {
-  /** Only events with a version above this one are delivered. */
+  /** Only events with a higher version are delivered. */
   readonly sinceVersion: number;
-  /** Ends the watch; no `closed` event is delivered then. */
+  /** Ends the watch without a `closed` event. */
   readonly signal: AbortSignal;
   /**
-   * Returns the longest time to the next confirmation, in milliseconds, where
-   * the store confirms; each costs a call. Default: the store's own.
+   * Returns the maximum time to the next `confirmed` event, in milliseconds,
+   * for stores that support them; each costs a call. The store's client
+   * chooses the default.
    */
   readonly getConfirmIntervalMs?: () => number | undefined;
   /**
-   * Time after an event for which further ones are collected, in milliseconds,
-   * where each answer costs a call.
+   * Time after an event during which further events are batched, in
+   * milliseconds, for stores where each delivery costs a call.
    * @default 0
    */
   readonly batchWindowMs?: number;
@@ -59,24 +61,25 @@
 
 export interface ListOptions {
   /**
-   * True when the list may be seconds old, which some stores give for less.
+   * True if a listing may be seconds old, which some stores provide at a
+   * lower cost.
    * @default false
    */
   readonly allowsStale?: boolean;
 }
 
-/** What a client of a platform's store needs. */
+/** Options of a client of a platform's object store. */
 export interface StoreOptions {
   /** Address of the store as `host:port`. */
   readonly address: string;
   readonly scheduler: scheduler.Scheduler;
   /** Aborts all calls. */
   readonly signal: AbortSignal;
-  /** Called once for each call with how it went. */
+  /** Called once for each call with its outcome. */
   readonly onCall?: (call: string, outcome: "answered" | "failed") => void;
 }
 
-/** Client of the object API. No method throws for a fault of the store. */
+/** Client of the object store. No method throws because of a store fault. */
 export interface ObjectStore extends versionedStore.VersionedStore {
   list(prefix: string, options?: ListOptions): Promise<ListOutcome>;
   remove(key: string, condition: WriteCondition): Promise<WriteOutcome>;
--- a/packages/anvilhinge/src/ports/rank_engine.ts
+++ b/packages/anvilhinge/src/ports/rank_engine.ts
@@ -1,32 +1,32 @@
-/** What an agent asks of the engine beside which it runs, one rank of a group. */
+/** Interface between an agent and its local engine, one rank of a group. */
 import type * as rankOrders from "@anvilhinge/coordination/maps/rank_orders";
 
-/** What an engine says of itself. */
+/** Status that an engine reports. */
 export interface RankReport {
   readonly group: string;
-  /** Ranks of the group. */
+  /** Number of ranks in the group. */
   readonly size: number;
   readonly state: rankOrders.RankState;
-  /** Requests that it works on. */
+  /** Number of requests that are running. */
   readonly running: number;
-  /** Requests that wait for it. */
+  /** Number of requests that are queued. */
   readonly waiting: number;
-  /** Wall-clock instant of the engine's start. */
+  /** Wall-clock time at which the engine started. */
   readonly startedAtMs: number;
 }
 
-/** How often the rank's requests chose each expert since the engine started. */
+/** How often the rank's requests selected each expert since engine start. */
 export interface ExpertCounts {
   readonly epoch: number;
-  /** Counts of all layers in one row, layer by layer. */
+  /** Counts of all layers, concatenated in layer order. */
   readonly counts: readonly number[];
 }
 
-/** Experts that the rank holds by the map in force. */
+/** Experts that the rank holds according to the active expert map. */
 export interface HeldExperts {
   readonly epoch: number;
   readonly version: number;
-  /** By layer. */
+  /** Expert numbers, indexed by layer. */
   readonly experts: readonly (readonly number[])[];
 }
 
@@ -41,13 +41,13 @@
   ): Promise<rankOrders.OrderReply>;
 }
 
-/** What a client of one rank's engine needs. */
+/** Options of a client of one rank's engine. */
 export interface RankEngineOptions {
   /** Address of the engine as `host:port`. */
   readonly address: string;
-  /** Longest wait for an answer to a read, in milliseconds. */
+  /** Timeout of a read, in milliseconds. */
   readonly readTimeoutMs: number;
-  /** The same for an order. */
+  /** Timeout of an order, in milliseconds. */
   readonly orderTimeoutMs: number;
   readonly signal: AbortSignal;
 }
--- a/packages/anvilhinge/src/ports/scheduler.ts
+++ b/packages/anvilhinge/src/ports/scheduler.ts
@@ -1,4 +1,4 @@
-/** Timers, passed in so that tests run them on a fake clock. */
+/** Timers, injected so that tests can use a fake clock. */
 import type * as clock from "@anvilhinge/coordination/clock";
 
 export interface ScheduleOptions {
@@ -7,7 +7,7 @@
   readonly signal?: AbortSignal;
 }
 
-/** A clock with timers; all callbacks run on the one loop. */
+/** A clock with timers; all callbacks run on the event loop. */
 export interface Scheduler extends clock.Clock {
   schedule(callback: () => void, options: ScheduleOptions): void;
 }
--- a/packages/anvilhinge/src/ports/shutdown.ts
+++ b/packages/anvilhinge/src/ports/shutdown.ts
@@ -1,8 +1,8 @@
-/** How a process is asked to stop, and what it says of the work it has. */
+/** Graceful stop of a process, and the description of its pending work. */
 
 export interface RunRoleOptions {
-  /** Asks for a graceful stop. */
+  /** Requests a graceful stop. */
   readonly signal: AbortSignal;
-  /** Takes the function that names the work in progress. */
+  /** Registers the function that describes the work in progress. */
   readonly registerWorkDescriber?: (describeWork: () => string) => void;
 }
--- a/packages/anvilhinge/src/ports/upstream_dialect.ts
+++ b/packages/anvilhinge/src/ports/upstream_dialect.ts
@@ -1,15 +1,15 @@
 /**
- * How attempts are put to upstreams that are called directly: the headers that
- * an attempt carries, and what the head of an answer says of it.
+ * HTTP conventions of upstreams that are called directly: the headers that an
+ * attempt carries, and the interpretation of an answer's status and headers.
  */
 import type * as engine from "./engine.ts";
 import type * as frames from "./frames.ts";
 
 export type HeaderPairs = readonly (readonly [name: string, value: string])[];
 
-/** What the head of an answer says of the attempt. */
+/** Meaning of an answer's status and headers for the attempt. */
 export type HeadInterpretation =
-  /** The answer of the upstream that was meant. */
+  /** The expected upstream answered the attempt. */
   | { readonly kind: "answered" }
   /** The upstream did not run the attempt and never will. */
   | {
@@ -21,7 +21,7 @@
   | { readonly kind: "foreign" };
 
 export interface UpstreamDialect {
-  /** Headers that an attempt carries besides the caller's. */
+  /** Returns the headers that an attempt carries besides the caller's. */
   encodeHeaders(
     attempt: frames.Attempt,
     upstreamId: string | undefined,
--- a/packages/anvilhinge/src/telemetry/line_sink.ts
+++ b/packages/anvilhinge/src/telemetry/line_sink.ts
@@ -1,59 +1,59 @@
 /**
- * Takes log lines without ever blocking the loop or growing without bound: what
- * a slow reader does not take in time is left out and counted. Pipes are
- * written through a socket, because the runtime's own output blocks on them.
+ * Log output that neither blocks the event loop nor buffers without bound: when
+ * the reader is too slow, lines are dropped and counted. Pipes are written
+ * through a socket, because the runtime's own `process.stdout` blocks on them.
  */
 import * as fs from "node:fs";
 import * as net from "node:net";
 import type * as scheduler from "../ports/scheduler.ts";
 
 export interface LineSink {
-  /** Takes one line that ends with a line feed. */
+  /** Writes a line that ends with a line feed; returns false if dropped. */
   write(line: string): boolean;
-  /** Lines that were left out so far. */
+  /** Returns the number of lines dropped so far. */
   countDropped(): number;
 }
 
 export interface LineSinkOptions {
-  /** Takes what fits; `writableLength` tells what it still holds. */
+  /** Destination; `writableLength` is the amount that it still buffers. */
   readonly output: Pick<NodeJS.WritableStream, "write"> & {
     readonly writableLength: number;
   };
   /**
-   * Bytes that wait for the reader at most.
+   * Maximum number of buffered bytes.
    * @default 262144
    */
   readonly limitBytes?: number;
-  /** Creates the line that tells how many were left out. */
+  /** Creates the line that reports how many lines were dropped. */
   readonly createGapLine: (dropped: number) => string;
 }
 
 export interface LineRateLimiterOptions {
   readonly clock: Pick<scheduler.Scheduler, "now">;
-  /** Lines a second. */
+  /** Sustained rate in lines per second. */
   readonly linesPerSecond: number;
-  /** Lines that may come at once. */
+  /** Maximum number of lines in a burst. */
   readonly burst: number;
 }
 
 const defaultLimitBytes = 256 * 1024;
 const millisecondsPerSecond = 1_000;
 
-/** Creates a sink in front of an output that does not block. */
+/** Creates a sink in front of a non-blocking output. */
 export function createLineSink(options: LineSinkOptions): LineSink {
   const limitBytes = options.limitBytes ?? defaultLimitBytes;
   let dropped = 0;
-  let untold = 0;
+  let gapLines = 0;
 
   return {
     write(line) {
       if (options.output.writableLength + line.length > limitBytes) {
         dropped += 1;
-        untold += 1;
+        gapLines += 1;
         return false;
       }
-      if (untold > 0) options.output.write(options.createGapLine(untold));
-      untold = 0;
+      if (gapLines > 0) options.output.write(options.createGapLine(gapLines));
+      gapLines = 0;
       options.output.write(line);
       return true;
     },
@@ -61,33 +61,36 @@
   };
 }
 
-/** Opens the standard output for writing without blocking. */
+/** Opens the standard output for non-blocking writes. */
 export function openStandardOutput(): LineSinkOptions["output"] {
   const standardOutput = 1;
-  const found = fs.fstatSync(standardOutput);
-  if (!found.isFIFO() && !found.isSocket()) return process.stdout;
+  const stats = fs.fstatSync(standardOutput);
+  if (!stats.isFIFO() && !stats.isSocket()) return process.stdout;
   const socket = new net.Socket({
     fd: standardOutput,
     readable: false,
     writable: true,
   });
-  // A reader that has gone leaves nobody to tell.
+  // Without a reader there is nowhere to report the error.
   socket.on("error", () => {});
   socket.unref();
   return socket;
 }
 
-/** Returns a function that says whether one more line fits the budget. */
+/**
+ * Creates a token bucket with one token per line; the returned function takes a
+ * token and returns false if none is left.
+ */
 export function createLineRateLimiter(
   options: LineRateLimiterOptions,
 ): () => boolean {
   let tokens = options.burst;
-  let filledAtMs = options.clock.now();
+  let refilledAtMs = options.clock.now();
 
   return () => {
     const nowMs = options.clock.now();
-    const seconds = (nowMs - filledAtMs) / millisecondsPerSecond;
-    filledAtMs = nowMs;
+    const seconds = (nowMs - refilledAtMs) / millisecondsPerSecond;
+    refilledAtMs = nowMs;
     tokens = Math.min(options.burst, tokens + seconds * options.linesPerSecond);
     if (tokens < 1) return false;
     tokens -= 1;
--- a/packages/anvilhinge/src/telemetry/line_sink_test.ts
+++ b/packages/anvilhinge/src/telemetry/line_sink_test.ts
@@ -2,42 +2,42 @@
 import fc from "fast-check";
 import * as lineSink from "./line_sink.ts";
 
-/** Output whose reader takes only what `drain` says. */
+/** Creates an output whose buffer empties only when `drain` is called. */
 function createOutput() {
   const lines: string[] = [];
-  let held = 0;
+  let bufferedLength = 0;
   return {
     lines,
-    drain: () => (held = 0),
+    drain: () => (bufferedLength = 0),
     output: {
       write(line: string | Uint8Array) {
         lines.push(String(line));
-        held += line.length;
+        bufferedLength += line.length;
         return true;
       },
       get writableLength() {
-        return held;
+        return bufferedLength;
       },
     },
   };
 }
 
-test("lines that a reader does not take are counted and told later", () => {
+test("drops lines over the buffer limit and reports the count later", () => {
   const { output, lines, drain } = createOutput();
   const sink = lineSink.createLineSink({
     output,
     limitBytes: 12,
-    createGapLine: (dropped) => `left out ${dropped}\n`,
+    createGapLine: (dropped) => `dropped ${dropped}\n`,
   });
   for (const line of ["one\n", "two\n", "three\n", "four\n"]) sink.write(line);
   expect(lines).toEqual(["one\n", "two\n"]);
   expect(sink.countDropped()).toBe(2);
   drain();
   sink.write("five\n");
-  expect(lines.slice(2)).toEqual(["left out 2\n", "five\n"]);
+  expect(lines.slice(2)).toEqual(["dropped 2\n", "five\n"]);
 });
 
-test("whatever is written, no more than the bound waits for the reader", () => {
+test("never buffers more than the limit, whatever is written", () => {
   fc.assert(fc.property(
     fc.array(fc.oneof(fc.string({ maxLength: 40 }), fc.constant(null))),
     (steps) => {
@@ -47,34 +47,34 @@
         limitBytes: 100,
         createGapLine: () => "gap\n",
       });
-      let asked = 0;
+      let written = 0;
       for (const step of steps) {
         if (step === null) {
           drain();
           continue;
         }
-        asked += 1;
+        written += 1;
         sink.write(`${step}\n`);
         expect(output.writableLength).toBeLessThanOrEqual(100 + 4);
       }
-      const shown = lines.filter((line) => line !== "gap\n").length;
-      expect(shown + sink.countDropped()).toBe(asked);
+      const passedCount = lines.filter((line) => line !== "gap\n").length;
+      expect(passedCount + sink.countDropped()).toBe(written);
     },
   ));
 });
 
-test("a budget lets a burst pass and then so many a second", () => {
+test("the rate limiter allows a burst and then a constant rate", () => {
   const manual = clock.createManualClock();
-  const fits = lineSink.createLineRateLimiter({
+  const takeToken = lineSink.createLineRateLimiter({
     clock: manual,
     linesPerSecond: 10,
     burst: 5,
   });
-  const count = (tries: number) =>
-    Array.from({ length: tries }, () => fits()).filter(Boolean).length;
-  expect(count(20)).toBe(5);
+  const countAllowed = (attempts: number) =>
+    Array.from({ length: attempts }, () => takeToken()).filter(Boolean).length;
+  expect(countAllowed(20)).toBe(5);
   manual.advance(300);
-  expect(count(20)).toBe(3);
+  expect(countAllowed(20)).toBe(3);
   manual.advance(10_000);
-  expect(count(20)).toBe(5);
+  expect(countAllowed(20)).toBe(5);
 });
--- a/packages/anvilhinge/src/telemetry/logger.ts
+++ b/packages/anvilhinge/src/telemetry/logger.ts
@@ -1,8 +1,8 @@
-/** Logs: short sentences that begin with the fixed prefix of their part. */
+/** Logger whose messages are short sentences, prefixed with the component. */
 import bunyan from "bunyan";
 import type * as process from "../settings/process.ts";
 
-/** Part of the system that writes a line. */
+/** Component of the system that writes a log line. */
 export type Component = "entry" | "agent" | "dev" | "command" | "stand_in";
 
 export type Fields = Readonly<Record<string, unknown>>;
@@ -13,11 +13,11 @@
   warn(message: string, fields?: Fields): void;
   error(message: string, fields?: Fields): void;
   /**
-   * Writes a line of ordinary course, of which some may be left out under load;
-   * the next line tells how many.
+   * Writes an info line subject to the rate limit. Lines over the limit are
+   * dropped; the next line that is written reports how many.
    */
   infoRateLimited(message: string, fields?: Fields): void;
-  /** Warns about one cause the first time only; `cause` identifies it. */
+  /** Warns only once about each cause; `cause` identifies it. */
   warnOnce(cause: string, message: string): void;
 }
 
@@ -30,25 +30,25 @@
   readonly component: Component;
   readonly level: process.LogLevel;
   /**
-   * Takes one JSON object a line.
+   * Destination of the log, one JSON object per line.
    * @default process.stdout
    */
   readonly stream?: Pick<NodeJS.WritableStream, "write">;
-  /** Whether one more ordinary line fits. Default: all do. */
+  /** Takes a token of the rate limit; false if none is left. Default: true. */
   readonly takeToken?: () => boolean;
 }
 
-const maxRememberedCauses = 1_024;
-/** Ordinary lines that are left out before that is told. */
-const leftOutStep = 100;
+const maxWarnedCauses = 1_024;
+/** A warning is logged after each such number of dropped lines. */
+const linesPerWarning = 100;
 
-/** Creates a logger whose messages begin with `[part]`. */
+/** Creates a logger whose messages begin with `[component]`. */
 export function createLogger(
   {
-    component: part,
+    component,
     level,
     stream = globalThis.process.stdout,
-    takeToken: takeOrdinary,
+    takeToken,
   }: LoggerOptions,
 ): LeveledLogger {
   const log = bunyan.createLogger({
@@ -57,7 +57,7 @@
     stream: stream as NodeJS.WritableStream,
   });
   let leftOut = 0;
-  const prefix = `[${part}]`;
+  const prefix = `[${component}]`;
   const warnedCauses = new Set<string>();
   return {
     setLevel: (next) => log.level(next),
@@ -66,20 +66,20 @@
     warn: (message, fields = {}) => log.warn(fields, `${prefix} ${message}`),
     error: (message, fields = {}) => log.error(fields, `${prefix} ${message}`),
     infoRateLimited(message, fields = {}) {
-      if (takeOrdinary === undefined || takeOrdinary()) {
+      if (takeToken === undefined || takeToken()) {
         const leftOutBefore = leftOut === 0 ? undefined : leftOut;
         leftOut = 0;
         log.info({ ...fields, leftOutBefore }, `${prefix} ${message}`);
         return;
       }
       leftOut += 1;
-      if (leftOut % leftOutStep !== 0) return;
-      log.warn({ leftOut }, `${prefix} Left out ordinary lines`);
+      if (leftOut % linesPerWarning !== 0) return;
+      log.warn({ leftOut }, `${prefix} Dropped log lines over the rate limit`);
     },
     warnOnce(cause, message) {
       if (warnedCauses.has(cause)) return;
-      // Forgets all causes when full, which keeps the memory bounded.
-      if (warnedCauses.size >= maxRememberedCauses) warnedCauses.clear();
+      // Clearing the set when it is full keeps the memory bounded.
+      if (warnedCauses.size >= maxWarnedCauses) warnedCauses.clear();
       warnedCauses.add(cause);
       log.warn({ cause }, `${prefix} ${message}`);
     },
--- a/packages/anvilhinge/src/telemetry/metrics.ts
+++ b/packages/anvilhinge/src/telemetry/metrics.ts
@@ -1,4 +1,4 @@
-/** Metrics of one process, rendered in the text format of Prometheus. */
+/** Metrics of one process, rendered in the Prometheus text format. */
 import * as histogram from "hdr-histogram-js";
 import * as prometheus from "prom-client";
 
@@ -6,7 +6,7 @@
 
 export interface MetricOptions {
   readonly name: string;
-  /** One sentence that says what is measured, with its unit. */
+  /** One sentence on what is measured, with its unit. */
   readonly help: string;
   /** @default [] */
   readonly labelNames?: readonly string[];
@@ -18,7 +18,7 @@
 }
 
 export interface ReadGaugeOptions extends MetricOptions {
-  /** Called at each rendering; label sets that it omits disappear. */
+  /** Called at each rendering; label sets that it omits are removed. */
   readonly read: () => readonly GaugeReading[];
 }
 
@@ -28,13 +28,13 @@
   readonly amount?: number;
 }
 
-/** Adds to a counter. */
+/** Increments a counter. */
 export type IncrementCounter = (options?: IncrementOptions) => void;
 
 /** Sets a gauge. */
 export type SetGauge = (value: number, labels?: Labels) => void;
 
-/** Records one value, a non-negative integer in the unit of the metric. */
+/** Records a value, a non-negative integer in the metric's unit. */
 export type RecordValue = (value: number) => void;
 
 export interface Metrics {
@@ -44,15 +44,15 @@
   createGauge(options: MetricOptions): SetGauge;
   /** Registers a gauge whose values are read at each rendering. */
   registerGauge(options: ReadGaugeOptions): void;
-  /** Creates a distribution that is shown as quantiles. */
+  /** Creates a distribution that is exported as quantiles. */
   createDistribution(options: Omit<MetricOptions, "labelNames">): RecordValue;
   render(): Promise<string>;
 }
 
-const shownQuantiles = [0.5, 0.95, 0.99, 1] as const;
+const exportedQuantiles = [0.5, 0.95, 0.99, 1] as const;
 const significantDigits = 2;
 
-/** Creates an empty registry of metrics. */
+/** Creates an empty metrics registry. */
 export function createMetrics(): Metrics {
   const registry = new prometheus.Registry();
   const registers = [registry];
@@ -94,7 +94,7 @@
         help,
         labelNames: ["quantile"],
         read: () =>
-          shownQuantiles.map((quantile) => ({
+          exportedQuantiles.map((quantile) => ({
             value: values.getValueAtPercentile(quantile * 100),
             labels: { quantile: String(quantile) },
           })),
--- a/packages/anvilhinge/src/telemetry/routed_logger.ts
+++ b/packages/anvilhinge/src/telemetry/routed_logger.ts
@@ -1,4 +1,4 @@
-/** The logger of the processes before routed services: bounded, never blocking. */
+/** Bounded, non-blocking logger of the processes for routed services. */
 import type * as clock from "@anvilhinge/coordination/clock";
 import type * as process from "../settings/process.ts";
 import * as lineSink from "./line_sink.ts";
@@ -11,17 +11,17 @@
 }
 
 export interface RoutedLogger extends logger.LeveledLogger {
-  /** Lines that the reader did not take in time. */
+  /** Returns the number of lines dropped because the reader was too slow. */
   countDropped(): number;
 }
 
-/** Ordinary lines a second; about 1% of a core. */
-const ordinaryPerSecond = 100;
-const ordinaryBurst = 300;
+/** Limit for rate-limited lines; this rate costs about 1% of a core. */
+const rateLimitedLinesPerSecond = 100;
+const rateLimitedBurstLines = 300;
 
-/** Creates the logger of one process on its standard output. */
+/** Creates a logger that writes to the standard output. */
 export function createRoutedLogger(
-  { component: part, level, clock }: RoutedLoggerOptions,
+  { component, level, clock }: RoutedLoggerOptions,
 ): RoutedLogger {
   const sink = lineSink.createLineSink({
     output: lineSink.openStandardOutput(),
@@ -31,18 +31,18 @@
           name: "anvilhinge",
           level: 40,
           dropped,
-          msg: `[${part}] The reader of the log was slow; lines are missing`,
+          msg: `[${component}] Dropped log lines; the log reader is too slow`,
         })
       }\n`,
   });
   const log = logger.createLogger({
-    component: part,
+    component,
     level,
     stream: { write: (line) => sink.write(String(line)) },
     takeToken: lineSink.createLineRateLimiter({
       clock,
-      linesPerSecond: ordinaryPerSecond,
-      burst: ordinaryBurst,
+      linesPerSecond: rateLimitedLinesPerSecond,
+      burst: rateLimitedBurstLines,
     }),
   });
   return { ...log, countDropped: sink.countDropped };
--- a/packages/anvilhinge/src/telemetry/telemetry_test.ts
+++ b/packages/anvilhinge/src/telemetry/telemetry_test.ts
@@ -14,7 +14,7 @@
   return { log, readMessages };
 }
 
-test("each message begins with the prefix of its part", () => {
+test("prefixes each message with its component", () => {
   const { log, readMessages } = createRecordingLogger("info");
   log.debug("Not shown");
   log.info("Started", { port: 1 });
@@ -22,7 +22,7 @@
   expect(readMessages()).toEqual(["[entry] Started", "[entry] Failed"]);
 });
 
-test("a repeated cause is warned about once", () => {
+test("warns only once about a repeated cause", () => {
   const { log, readMessages } = createRecordingLogger("warn");
   log.warnOnce("a", "First");
   log.warnOnce("a", "Second");
@@ -30,7 +30,7 @@
   expect(readMessages()).toEqual(["[entry] First", "[entry] Third"]);
 });
 
-test("metrics are rendered as text", async () => {
+test("renders metrics as text and removes omitted label sets", async () => {
   const registry = metrics.createMetrics();
   const count = registry.createCounter({
     name: "requests_total",
@@ -61,7 +61,7 @@
   expect(await registry.render()).not.toContain("load{");
 });
 
-test("a span continues the trace of the caller's headers", () => {
+test("a span continues the trace from the caller's headers", () => {
   const recorder = tracing.createSpanRecorder();
   const { tracer } = tracing.createTracing({
     role: "entry",
@@ -86,7 +86,7 @@
     .toEqual([parentId]);
 });
 
-test("without an exporter the caller's trace context still passes", () => {
+test("propagates the caller's trace context without an exporter", () => {
   const { tracer } = tracing.createTracing({
     role: "agent",
     instanceId: "agent-1",
--- a/packages/anvilhinge/src/telemetry/tracing.ts
+++ b/packages/anvilhinge/src/telemetry/tracing.ts
@@ -1,4 +1,4 @@
-/** Traces: a tracer for one process, and trace context in headers. */
+/** Tracer of one process, and trace context propagation in headers. */
 import * as api from "@opentelemetry/api";
 import * as core from "@opentelemetry/core";
 import * as otlp from "@opentelemetry/exporter-trace-otlp-http";
@@ -6,22 +6,22 @@
 import * as sdk from "@opentelemetry/sdk-trace-base";
 import type * as process from "../settings/process.ts";
 
-/** Headers by lower-case name. */
+/** Headers, keyed by lower-case name. */
 export type Headers = Readonly<Record<string, string | undefined>>;
 
 export interface Tracing {
   readonly tracer: api.Tracer;
-  /** Sends what is still buffered, then stops. */
+  /** Flushes buffered spans, then stops. */
   stop(): Promise<void>;
 }
 
 export interface TracingOptions {
-  /** Role of the process, shown as `service.name`. */
+  /** Role of the process, exported in `service.name`. */
   readonly role: string;
-  /** Id of the instance, shown as `service.instance.id`. */
+  /** Id of the instance, exported as `service.instance.id`. */
   readonly instanceId: string;
   readonly settings: process.TracingSettings;
-  /** Further processors; tests pass a recorder's. */
+  /** Additional span processors; tests pass that of a recorder. */
   readonly spanProcessors?: readonly sdk.SpanProcessor[];
 }
 
@@ -42,7 +42,7 @@
   }
 }
 
-/** Creates the tracer that the settings ask for. */
+/** Creates a tracer with the configured exporter. */
 export function createTracing(
   { role, instanceId, settings, spanProcessors = [] }: TracingOptions,
 ): Tracing {
@@ -52,9 +52,9 @@
   });
   const processors = [...createProcessors(settings), ...spanProcessors];
   const name = "anvilhinge";
-  // Without a processor nobody would see the spans, so none are made.
+  // Without a processor no span would be exported, so none are recorded.
   if (processors.length === 0) {
-    return { tracer: createIdleTracer(name), stop: () => Promise.resolve() };
+    return { tracer: createNoopTracer(name), stop: () => Promise.resolve() };
   }
   const provider = new sdk.BasicTracerProvider({
     resource,
@@ -66,11 +66,11 @@
   };
 }
 
-function createIdleTracer(name: string): api.Tracer {
+function createNoopTracer(name: string): api.Tracer {
   return new api.ProxyTracerProvider().getTracer(name);
 }
 
-/** Extracts the caller's trace context; the root context if there is none. */
+/** Extracts the caller's trace context; root context if there is none. */
 export function extractContext(headers: Headers): api.Context {
   return propagator.extract(
     api.ROOT_CONTEXT,
@@ -89,15 +89,15 @@
   return carrier;
 }
 
-/** Keeps finished spans in memory. */
+/** Recorder that keeps finished spans in memory. */
 export interface SpanRecorder {
-  /** To be passed to `createTracing`. */
+  /** Span processor to pass to `createTracing`. */
   readonly processor: sdk.SpanProcessor;
   list(): readonly sdk.ReadableSpan[];
   clear(): void;
 }
 
-/** Creates a recorder of finished spans for tests. */
+/** Creates a span recorder for tests. */
 export function createSpanRecorder(): SpanRecorder {
   const exporter = new sdk.InMemorySpanExporter();
   return {
