--- a/packages/anvilhinge/src/adapters/abort_signal.ts
+++ b/packages/anvilhinge/src/adapters/abort_signal.ts
@@ -1,6 +1,6 @@
-/** Waiting for an abort signal. */
+/** Promise-based wait for an abort signal. */
 
-/** Resolves when the signal aborts, at once when it has. */
+/** Resolves when the signal aborts, or immediately if it has aborted. */
 export function waitForAbort(signal: AbortSignal): Promise<void> {
   if (signal.aborted) return Promise.resolve();
   return new Promise((resolve) =>
--- a/packages/anvilhinge/src/adapters/assignment_codec.ts
+++ b/packages/anvilhinge/src/adapters/assignment_codec.ts
@@ -1,4 +1,4 @@
-/** Converts assignments between the wire, the object API and the state machines. */
+/** Conversion of assignments: wire, object store and state machines. */
 import type * as assignment from "@anvilhinge/coordination/assignment";
 import type * as handover from "@anvilhinge/coordination/handover";
 import * as protobuf from "@bufbuild/protobuf";
@@ -17,10 +17,10 @@
   changeIds: zod.array(zod.string()).readonly().default([]),
 });
 
-/** Prefix of the keys of assignments in the object API. */
+/** Key prefix of assignments in the object store. */
 export const assignmentPrefix = "assignments/";
 
-/** Parses the value of a stored assignment; undefined when it is none. */
+/** Parses the value of a stored assignment; undefined if it is invalid. */
 export function parseAssignment(
   value: unknown,
 ): assignment.Assignment | undefined {
@@ -28,12 +28,12 @@
   return result.success ? result.data : undefined;
 }
 
-/** Formats the key of a group's assignment. */
+/** Formats the object key of a group's assignment. */
 export function formatKey(group: string): string {
   return `${assignmentPrefix}${group}`;
 }
 
-/** As `parseAssignment`, with the ids of the changes that led to the value. */
+/** Like `parseAssignment`, with the ids of the changes that set the value. */
 export function parseRecord(
   value: unknown,
 ): handover.AssignmentRecord | undefined {
@@ -56,7 +56,7 @@
   });
 }
 
-/** Decodes an assignment; undefined when its state is unknown here. */
+/** Decodes an assignment; undefined if its state is unspecified. */
 export function decodeAssignment(
   wire: entryPb.GroupAssignment,
 ): assignment.Assignment | undefined {
--- a/packages/anvilhinge/src/adapters/connect_server.ts
+++ b/packages/anvilhinge/src/adapters/connect_server.ts
@@ -1,4 +1,4 @@
-/** Serves connect-es routes over HTTP/2 without TLS. */
+/** Server for connect-es routes over HTTP/2 without TLS. */
 import * as http2 from "node:http2";
 import type * as net from "node:net";
 import * as connect from "@connectrpc/connect";
@@ -7,12 +7,12 @@
 
 export interface ConnectServerOptions {
   readonly host: string;
-  /** 0 lets the system choose. */
+  /** 0 lets the operating system choose. */
   readonly port: number;
   readonly routes: (router: connect.ConnectRouter) => void;
-  /** Ends the server and its connections at once. */
+  /** Stops the server and closes its connections immediately. */
   readonly signal: AbortSignal;
-  /** Called when a call failed for another reason than a peer that went away. */
+  /** Called when a call fails, unless its peer has closed the stream. */
   readonly onFailure?: (call: string, message: string) => void;
 }
 
@@ -24,9 +24,9 @@
 const notFoundStatus = 404;
 
 /**
- * Creates the handler of all routes. Unlike the library's own, it reports no
- * failure for a stream that its peer has ended, which is how calls are
- * cancelled here.
+ * Creates the handler of all routes. Unlike the library's handler, it reports
+ * no failure if the peer has closed the stream, because peers cancel calls that
+ * way.
  */
 function createHandler(options: ConnectServerOptions): RequestHandler {
   const router = connect.createConnectRouter({
@@ -84,7 +84,7 @@
   });
   options.signal.addEventListener("abort", () => {
     server.close();
-    // Handlers end on the same signal; their streams must outlive that moment.
+    // Handlers end on the same signal and still need their streams for that.
     setImmediate(() => {
       for (const session of sessions) session.destroy();
     });
--- a/packages/anvilhinge/src/adapters/datagrams.ts
+++ b/packages/anvilhinge/src/adapters/datagrams.ts
@@ -1,9 +1,9 @@
-/** Messages between processes as JSON in datagrams; any may be lost. */
+/** JSON messages between processes over UDP, which may lose any of them. */
 import * as dgram from "node:dgram";
 import * as hostPort from "./address.ts";
 
 export interface DatagramOptions {
-  /** Own address as `host:port`. */
+  /** Local address as `host:port`. */
   readonly address: string;
   /** Closes the socket. */
   readonly signal: AbortSignal;
@@ -14,15 +14,15 @@
 }
 
 export interface Datagrams {
-  /** Sends a message; nothing tells whether it arrives. */
+  /** Sends a message without confirmation of its delivery. */
   send(message: unknown, address: string): void;
 }
 
-/** Opens the socket; resolves when it can receive. */
+/** Opens the socket; resolves when the socket can receive. */
 export function openDatagrams(options: DatagramOptions): Promise<Datagrams> {
   const { signal, onFailure } = options;
   const socket = dgram.createSocket("udp4");
-  const own = hostPort.parseAddress(options.address);
+  const local = hostPort.parseAddress(options.address);
   let isOpen = true;
 
   signal.addEventListener("abort", () => {
@@ -34,13 +34,13 @@
     try {
       message = JSON.parse(data.toString());
     } catch {
-      return onFailure("A datagram holds no JSON");
+      return onFailure("Received a datagram that is not valid JSON");
     }
     options.onMessage(message, `${sender.address}:${sender.port}`);
   });
   return new Promise((resolve, reject) => {
     socket.once("error", reject);
-    socket.bind(own.port, own.host, () => {
+    socket.bind(local.port, local.host, () => {
       socket.removeListener("error", reject);
       socket.on("error", (error) => onFailure(error.message));
       resolve({
--- a/packages/anvilhinge/src/adapters/delay.ts
+++ b/packages/anvilhinge/src/adapters/delay.ts
@@ -1,7 +1,7 @@
-/** Waiting for time to pass. */
+/** Promise-based delay. */
 import type * as scheduler from "../ports/scheduler.ts";
 
-/** Resolves after the delay; never if the signal aborts before. */
+/** Resolves after the delay; never resolves if the signal aborts first. */
 export function waitFor(
   timers: scheduler.Scheduler,
   options: scheduler.ScheduleOptions,
--- a/packages/anvilhinge/src/adapters/direct_client.ts
+++ b/packages/anvilhinge/src/adapters/direct_client.ts
@@ -1,7 +1,7 @@
 /**
- * Calls upstreams directly over HTTP/1.1, one connection for each attempt: what
- * is left of an earlier answer, or a connection that fell silent while idle,
- * can't touch the attempt.
+ * Client that calls upstreams directly over HTTP/1.1. Each attempt has its own
+ * connection, so that neither leftover bytes of an earlier answer nor a
+ * connection that died while idle can affect the attempt.
  */
 import * as http from "node:http";
 import * as net from "node:net";
@@ -16,17 +16,17 @@
 export interface DirectClientOptions {
   readonly dialect: upstreamDialect.UpstreamDialect;
   /**
-   * Longest wait for a connection, in milliseconds; a lost packet costs a
-   * second and more, another try costs a round trip.
+   * Timeout for connecting, in milliseconds. The retransmission of a lost
+   * packet takes a second or more, but another attempt takes one round trip.
    * @default 250
    */
   readonly connectTimeoutMs?: number;
 }
 
 const defaultConnectTimeoutMs = 250;
-const noLoad: engine.EngineLoad = { running: 0, queued: 0, stepUs: 0 };
+const unknownLoad: engine.EngineLoad = { running: 0, queued: 0, stepUs: 0 };
 
-/** Creates a client of upstreams that have no agents. */
+/** Creates a client for upstreams without agents. */
 export function createDirectClient(
   options: DirectClientOptions,
 ): runner.SessionClient {
@@ -37,7 +37,7 @@
       stream.onEnd({ kind: "broken", sent: true, message });
     },
     seal: () => Promise.resolve("unreachable"),
-    // The end of the connection ends the work.
+    // Aborting the stream closes the connection, which ends the work.
     cancel: () => {},
   };
 }
@@ -62,7 +62,7 @@
 
 function runAttempt(attempt: frames.Attempt, call: Call): void {
   const { work } = attempt;
-  if (work.kind !== "service") throw new Error("Expected a routed request");
+  if (work.kind !== "service") throw new Error("Expected service work");
   const { stream, dialect } = call;
   let sequence = 0;
   let isConnected = false;
@@ -74,13 +74,13 @@
     sequence += 1;
   }
 
-  function end(ended: agentClient.StreamEnd): void {
+  function end(streamEnd: agentClient.StreamEnd): void {
     if (isEnded) return;
     isEnded = true;
-    stream.onEnd(ended);
+    stream.onEnd(streamEnd);
   }
 
-  function breakOff(message: string): void {
+  function failStream(message: string): void {
     end({ kind: "broken", sent: isConnected, message });
     request.destroy();
   }
@@ -93,24 +93,24 @@
       headers: httpHeaders.listEndToEndHeaders(response.rawHeaders),
       isCloseDelimited: isFramed ? undefined : true,
     };
-    const meaning = dialect.interpretHead(head, attempt);
-    response.on("error", (error) => breakOff(error.message));
-    switch (meaning.kind) {
+    const interpretation = dialect.interpretHead(head, attempt);
+    response.on("error", (error) => failStream(error.message));
+    switch (interpretation.kind) {
       case "foreign":
-        return breakOff("The answer belongs to another request");
+        return failStream("The answer belongs to another request");
       case "refused": {
-        const { reason, retryAfterMs } = meaning;
-        emitFrame({ kind: "refused", reason, retryAfterMs, load: noLoad });
+        const { reason, retryAfterMs } = interpretation;
+        emitFrame({ kind: "refused", reason, retryAfterMs, load: unknownLoad });
         isEnded = true;
         request.destroy();
         return;
       }
       case "answered":
-        return followAnswer(response, head);
+        return streamAnswer(response, head);
     }
   }
 
-  function followAnswer(
+  function streamAnswer(
     response: http.IncomingMessage,
     head: engine.AnswerHead,
   ): void {
@@ -118,8 +118,8 @@
     response.on("data", (data: Buffer) => emitFrame({ kind: "chunk", data }));
     response.on("close", () => {
       if (isEnded) return;
-      if (!response.complete) return breakOff("The answer broke off");
-      emitFrame({ kind: "end", frameCount: sequence + 1, load: noLoad });
+      if (!response.complete) return failStream("The answer broke off");
+      emitFrame({ kind: "end", frameCount: sequence + 1, load: unknownLoad });
       end({ kind: "closed" });
     });
   }
@@ -142,7 +142,7 @@
     });
   });
   request.on("response", handleResponse);
-  request.on("error", (error) => breakOff(error.message));
+  request.on("error", (error) => failStream(error.message));
   stream.signal.addEventListener("abort", () => {
     isEnded = true;
     request.destroy();
--- a/packages/anvilhinge/src/adapters/direct_client_test.ts
+++ b/packages/anvilhinge/src/adapters/direct_client_test.ts
@@ -4,19 +4,19 @@
 import type * as upstreamDialect from "../ports/upstream_dialect.ts";
 import * as directClient from "./direct_client.ts";
 
-/** Upstreams that say in `x-id` whose answer it is and in `x-no` what they refuse. */
+/** Dialect with the request id in `x-id` and refusals marked by `x-no`. */
 const dialect: upstreamDialect.UpstreamDialect = {
   encodeHeaders: (attempt, upstreamId) => [
     ["X-Left", String(attempt.deadlineMs)],
     ["X-Upstream", upstreamId ?? ""],
   ],
   interpretHead({ headers }, attempt) {
-    const find = (name: string) =>
-      headers.find(([found]) => found.toLowerCase() === name)?.[1];
-    if (find("x-no") !== undefined) {
+    const findValue = (name: string) =>
+      headers.find(([key]) => key.toLowerCase() === name)?.[1];
+    if (findValue("x-no") !== undefined) {
       return { kind: "refused", reason: "overloaded", retryAfterMs: 5 };
     }
-    const id = find("x-id");
+    const id = findValue("x-id");
     return id !== undefined && id !== attempt.requestId
       ? { kind: "foreign" }
       : { kind: "answered" };
@@ -29,7 +29,7 @@
   readonly end: agentClient.StreamEnd | undefined;
 }
 
-/** Answers one connection by `answer`; resolves to what the client reported. */
+/** Runs one attempt, whose connection `answer` serves; returns the outcome. */
 async function runAttempt(
   answer: (socket: net.Socket, request: string) => void,
   options: {
@@ -85,9 +85,9 @@
         bodies.push(body);
         if (body.kind === "refused") setTimeout(resolve, 20);
       },
-      onEnd(ended) {
-        end = ended;
-        // Whatever comes after the end would be a fault.
+      onEnd(streamEnd) {
+        end = streamEnd;
+        // Leaves time for frames after the end, which would be a fault.
         setTimeout(resolve, 20);
       },
     });
@@ -110,7 +110,7 @@
 
 const head = "HTTP/1.1 200 OK\r\nX-Id: r1\r\n";
 
-test("an attempt carries the caller's and the dialect's headers", async () => {
+test("sends the headers of the caller and of the dialect", async () => {
   const outcome = await runAttempt((socket) =>
     socket.end(`${head}Content-Length: 2\r\n\r\nok`)
   );
@@ -124,7 +124,7 @@
   expect(outcome.end).toEqual({ kind: "closed" });
 });
 
-test("a body gets its length", async () => {
+test("sends the length of the request body", async () => {
   const outcome = await runAttempt(
     (socket) => socket.end(`${head}Content-Length: 0\r\n\r\n`),
     { body: "text" },
@@ -133,10 +133,10 @@
   expect(outcome.received.endsWith("\r\n\r\ntext")).toBe(true);
 });
 
-test("an answer without a length ends with its connection", async () => {
+test("an answer without a length ends when its connection closes", async () => {
   const outcome = await runAttempt((socket) => socket.end(`${head}\r\nwhole`));
   expect(readText(outcome)).toBe("whole");
-  expect(outcome.frames[0]).toMatchObject({ head: { isUnframed: true } });
+  expect(outcome.frames[0]).toMatchObject({ head: { isCloseDelimited: true } });
   expect(outcome.frames.at(-1)?.kind).toBe("end");
 });
 
@@ -144,7 +144,7 @@
   ["without a length", `${head}\r\npart`],
   ["with a length", `${head}Content-Length: 9\r\n\r\npart`],
   ["in chunks", `${head}Transfer-Encoding: chunked\r\n\r\n4\r\npart\r\n`],
-])("an answer %s that is reset is not complete", async (_name, text) => {
+])("an answer %s is incomplete after a reset", async (_name, text) => {
   const outcome = await runAttempt((socket) => {
     socket.write(text, () => setTimeout(() => socket.resetAndDestroy(), 20));
   });
@@ -155,15 +155,15 @@
 test.each([
   ["with a length", `${head}Content-Length: 9\r\n\r\npart`],
   ["in chunks", `${head}Transfer-Encoding: chunked\r\n\r\n4\r\npart\r\n`],
-  ["of which only the head came", `${head}Content-Le`],
-  ["that is no HTTP", "garbage\r\n\r\n"],
-])("an answer %s that ends early is not complete", async (_name, text) => {
+  ["with a truncated head", `${head}Content-Le`],
+  ["that is not HTTP", "garbage\r\n\r\n"],
+])("an answer %s is incomplete after an early end", async (_name, text) => {
   const outcome = await runAttempt((socket) => socket.end(text));
   expect(outcome.frames.some(({ kind }) => kind === "end")).toBe(false);
   expect(outcome.end).toMatchObject({ kind: "broken", sent: true });
 });
 
-test("a refusal is told with its reason", async () => {
+test("reports a refusal with its reason", async () => {
   const outcome = await runAttempt((socket) =>
     socket.end("HTTP/1.1 503 No\r\nX-No: 1\r\nContent-Length: 0\r\n\r\n")
   );
@@ -172,7 +172,7 @@
   ]);
 });
 
-test("another request's answer is not passed on", async () => {
+test("does not deliver the answer to another request", async () => {
   const outcome = await runAttempt((socket) =>
     socket.end("HTTP/1.1 200 OK\r\nX-Id: other\r\nContent-Length: 2\r\n\r\nno")
   );
@@ -180,7 +180,7 @@
   expect(outcome.end).toMatchObject({ kind: "broken", sent: true });
 });
 
-test("a second answer behind the first is not passed on", async () => {
+test("does not deliver a second answer after the first", async () => {
   const answer = `${head}Content-Length: 2\r\n\r\nok`;
   const outcome = await runAttempt((socket) =>
     socket.end(answer + answer.replace("ok", "no"))
@@ -188,16 +188,16 @@
   expect(readText(outcome)).toBe("ok");
 });
 
-test("an upstream that can't be reached got nothing", async () => {
+test("reports an unreachable upstream as unsent", async () => {
   const outcome = await runAttempt(() => {}, { isDown: true });
   expect(outcome.end).toMatchObject({ kind: "broken", sent: false });
 });
 
-test("an attempt that is given up ends its connection", async () => {
-  let closed = false;
+test("an aborted attempt closes its connection", async () => {
+  let isClosed = false;
   await runAttempt((socket) => {
     socket.write(`${head}\r\npart`);
-    socket.on("close", () => (closed = true));
+    socket.on("close", () => (isClosed = true));
   }, { abortAfterMs: 50 });
-  expect(closed).toBe(true);
+  expect(isClosed).toBe(true);
 });
--- a/packages/anvilhinge/src/adapters/elapsed_clock.ts
+++ b/packages/anvilhinge/src/adapters/elapsed_clock.ts
@@ -1,8 +1,9 @@
 /**
- * A clock that also counts time in which the machine was suspended, which the
- * monotonic clock leaves out: where the wall clock runs ahead of it by more than
- * a bound, the difference counts as elapsed. A wall clock that is set forward
- * looks the same, which errs on the side of more time.
+ * Clock that includes time during which the machine was suspended, which the
+ * monotonic clock excludes. If the wall clock has advanced more than the
+ * monotonic clock by more than a threshold, the difference counts as elapsed.
+ * Setting the wall clock forward can't be told from a suspension; the error is
+ * on the side of more elapsed time.
  */
 import type * as clock from "@anvilhinge/coordination/clock";
 
@@ -12,24 +13,24 @@
   readonly readWallMs: () => number;
 }
 
-/** Difference between the clocks that counts; less is drift. */
-const jumpMs = 200;
+/** Increases of the wall clock's lead up to this value are drift. */
+const maxDriftMs = 200;
 
-/** Creates a clock that begins at the instant of `clock`. */
+/** Creates a clock that starts at the current time of `clock`. */
 export function createElapsedClock(
   { clock, readWallMs }: ElapsedClockOptions,
 ): clock.Clock {
   let addedMs = 0;
-  let aheadMs = readWallMs() - clock.now();
+  let leadMs = readWallMs() - clock.now();
 
   return {
     now() {
-      const steadyMs = clock.now();
-      const nowAheadMs = readWallMs() - steadyMs;
-      if (nowAheadMs > aheadMs + jumpMs) addedMs += nowAheadMs - aheadMs;
-      // Follows drift and steps back without counting them.
-      aheadMs = nowAheadMs;
-      return steadyMs + addedMs;
+      const monotonicMs = clock.now();
+      const newLeadMs = readWallMs() - monotonicMs;
+      if (newLeadMs > leadMs + maxDriftMs) addedMs += newLeadMs - leadMs;
+      // Drift and backward steps only update the lead.
+      leadMs = newLeadMs;
+      return monotonicMs + addedMs;
     },
   };
 }
--- a/packages/anvilhinge/src/adapters/engine_http.ts
+++ b/packages/anvilhinge/src/adapters/engine_http.ts
@@ -1,6 +1,6 @@
 /**
- * Engine port over HTTP, for a rank of a model group and for a replica of a
- * plain service. The body of an answer passes through as raw bytes.
+ * HTTP client of an engine: a rank of a model group, or a replica of a plain
+ * service. Answer bodies are forwarded as raw bytes.
  */
 import type * as undici from "undici";
 import * as zod from "zod";
@@ -9,8 +9,8 @@
 import * as httpClient from "./http_client.ts";
 import * as httpHeaders from "./http_headers.ts";
 
-/** Headers of the call to the agent that the engine does not get. */
-const droppedHeaders = new Set([
+/** Headers that are not forwarded in either direction. */
+const excludedHeaders = new Set([
   ...httpHeaders.connectionHeaders,
   "expect",
   "host",
@@ -26,28 +26,28 @@
 
 export interface HttpEngineOptions {
   readonly baseUrl: string;
-  /** Time between two reads of `GET /load`, in milliseconds. */
+  /** Interval between reads of `GET /load`, in milliseconds. */
   readonly loadIntervalMs: number;
   readonly scheduler: scheduler.Scheduler;
-  /** Ends the reads of the load and all work. */
+  /** Stops reading the load and cancels all work. */
   readonly signal: AbortSignal;
-  /** @default a pool of its own */
+  /** @default a new connection pool */
   readonly dispatcher?: undici.Dispatcher;
 }
 
 /**
- * Creates a client of one engine. While the engine reports no load, the load is
- * the number of requests in flight from here.
+ * Creates a client of one engine. While the engine reports no load, `readLoad`
+ * returns the number of this client's requests in flight.
  */
 export function createHttpEngine(options: HttpEngineOptions): engine.Engine {
   const { scheduler: timers, signal, loadIntervalMs } = options;
   const dispatcher = options.dispatcher ?? httpClient.createDispatcher();
   const target = httpClient.parseTarget(options.baseUrl);
-  let reported: engine.EngineLoad | undefined;
+  let reportedLoad: engine.EngineLoad | undefined;
   let inFlight = 0;
 
   async function updateLoad(): Promise<void> {
-    reported = await fetchLoad({ dispatcher, target, signal });
+    reportedLoad = await fetchLoad({ dispatcher, target, signal });
     if (signal.aborted) return;
     timers.schedule(updateLoad, { delayMs: loadIntervalMs, signal });
   }
@@ -67,7 +67,7 @@
   void updateLoad();
   return {
     start: (request) => void run(request),
-    readLoad: () => reported ?? { running: inFlight, queued: 0, stepUs: 0 },
+    readLoad: () => reportedLoad ?? { running: inFlight, queued: 0, stepUs: 0 },
   };
 }
 
@@ -82,7 +82,7 @@
   { readonly kind: "end" | "failed" }
 >;
 
-/** Delivers all events but the last, which it returns. */
+/** Runs a request; emits all events except the last, which it returns. */
 async function execute(
   request: engine.EngineRequest,
   { dispatcher, target, signal }: Connection,
@@ -111,9 +111,9 @@
 }
 
 function composeHeaders(request: engine.EngineRequest): string[] {
-  const passed = request.headers.filter(([name]) => isPassed(name));
+  const forwarded = request.headers.filter(([name]) => isForwarded(name));
   return [
-    ...passed.flat(),
+    ...forwarded.flat(),
     "x-request-id",
     request.requestId,
     "x-attempt-id",
@@ -125,23 +125,23 @@
   ];
 }
 
-/** The length of the body is set by the client library. */
-function isPassed(name: string): boolean {
+/** Excludes `Content-Length` too, which the HTTP library sets. */
+function isForwarded(name: string): boolean {
   const lower = name.toLowerCase();
-  return lower !== "content-length" && !droppedHeaders.has(lower);
+  return lower !== "content-length" && !excludedHeaders.has(lower);
 }
 
 function convertHeaders(
   headers: Readonly<Record<string, string | string[] | undefined>>,
 ): [string, string][] {
   return Object.entries(headers)
-    .filter(([name]) => !droppedHeaders.has(name))
+    .filter(([name]) => !excludedHeaders.has(name))
     .flatMap(([name, value = []]) =>
-      [value].flat().map((one): [string, string] => [name, one])
+      [value].flat().map((item): [string, string] => [name, item])
     );
 }
 
-/** Returns nothing when the engine does not report its load. */
+/** Fetches the load; undefined if the engine does not report it. */
 async function fetchLoad(
   { dispatcher, target, signal }: Connection,
 ): Promise<engine.EngineLoad | undefined> {
--- a/packages/anvilhinge/src/adapters/engine_http_test.ts
+++ b/packages/anvilhinge/src/adapters/engine_http_test.ts
@@ -30,13 +30,13 @@
   });
 }
 
-interface Sent {
+interface SendResult {
   readonly head: ports.AnswerHead | undefined;
   readonly text: string;
   readonly last: ports.EngineEvent;
 }
 
-interface Send {
+interface SendOptions {
   readonly method: string;
   readonly path: string;
   readonly value?: unknown;
@@ -44,7 +44,7 @@
   readonly onData?: () => void;
 }
 
-function send(engine: ports.Engine, options: Send): Promise<Sent> {
+function send(engine: ports.Engine, options: SendOptions): Promise<SendResult> {
   let head: ports.AnswerHead | undefined;
   const chunks: Uint8Array[] = [];
   const text = options.value === undefined ? "" : JSON.stringify(options.value);
@@ -121,7 +121,7 @@
 };
 
 describe("engine over HTTP", () => {
-  test("passes a streamed and a whole answer through byte for byte", async () => {
+  test("forwards a streamed and a whole answer unchanged", async () => {
     const { client } = await startRank();
     const path = "/v1/chat/completions";
     const value = { ...body, stream: true };
@@ -153,7 +153,7 @@
     }
   });
 
-  test("breaks the stream when the rank crashes and reads its load", async () => {
+  test("fails the stream if the rank crashes; reads its load and orders", async () => {
     const { engine, baseUrl, client } = await startRank();
     const sent = await send(client, {
       method: "POST",
@@ -166,11 +166,11 @@
     expect(JSON.parse(load.text)).toEqual(engine.readLoad(0));
     const order = { kind: "set_role", fencingNumber: 2, role: "prefill" };
     engine.restart(0);
-    const old = { ...order, fencingNumber: 1 };
+    const outdatedOrder = { ...order, fencingNumber: 1 };
     const post = (value: unknown) =>
       send(connect(baseUrl), { method: "POST", path: "/orders", value });
     expect((await post(order)).head?.status).toBe(200);
-    expect((await post(old)).head?.status).toBe(409);
+    expect((await post(outdatedOrder)).head?.status).toBe(409);
     expect(engine.readOrders(0).role).toBe("prefill");
     const events = await send(client, {
       method: "GET",
@@ -181,7 +181,7 @@
     expect(JSON.parse(orders.text)).toMatchObject({ highestFencingNumber: 2 });
   });
 
-  test("tells that nothing started only when the connection is refused", async () => {
+  test("reports that nothing started only if the connection is refused", async () => {
     const { service, faultSwitch, client } = await startService();
     faultSwitch.set({ kind: "answer_lost" }, { callCount: 1 });
     const lost = await send(client, filing);
@@ -196,20 +196,20 @@
 });
 
 async function startClosedPort(): Promise<string> {
-  const ended = new AbortController();
+  const serverAbort = new AbortController();
   const server = plainServiceHttp.createPlainServiceHttp({
     service: plainService.createPlainService({ clock: scheduler }),
     faults: faults.createFaultSwitch(),
     scheduler,
   });
-  const { signal } = ended;
+  const { signal } = serverAbort;
   const { baseUrl } = await server.listen({ ...local, signal });
-  ended.abort();
+  serverAbort.abort();
   return baseUrl;
 }
 
 describe("plain service over HTTP", () => {
-  test("executes each call and shows doubles in the ledger", async () => {
+  test("executes each call and records duplicates in the ledger", async () => {
     const { service, faultSwitch, client } = await startService();
     const first = await send(client, filing);
     expect(first.head?.status).toBe(201);
@@ -222,7 +222,7 @@
     expect(JSON.parse(record.text).filingNumbers).toEqual([1, 2, 3]);
   });
 
-  test("takes its fault from PUT /faults, in a crash too", async () => {
+  test("PUT /faults sets the fault, even during a crash fault", async () => {
     const { baseUrl, client } = await startService();
     const setFault = (value: unknown) =>
       send(connect(baseUrl), { method: "PUT", path: "/faults", value });
--- a/packages/anvilhinge/src/adapters/engine_orders_http.ts
+++ b/packages/anvilhinge/src/adapters/engine_orders_http.ts
@@ -1,4 +1,4 @@
-/** Gives orders to an engine over `POST /orders` and reads `GET /orders`. */
+/** Client of an engine's orders: `POST /orders` and `GET /orders`. */
 import type * as fencing from "@anvilhinge/coordination/fencing";
 import type * as undici from "undici";
 import type * as engineOrders from "../ports/engine_orders.ts";
@@ -6,7 +6,7 @@
 
 export interface HttpEngineOrdersOptions {
   readonly baseUrl: string;
-  /** Time after which the outcome of an order is given as unknown. */
+  /** Timeout after which the outcome of an order is reported as unknown. */
   readonly timeoutMs: number;
   readonly signal: AbortSignal;
 }
@@ -63,7 +63,7 @@
   };
 }
 
-/** A client error or 503 tells that the engine took nothing into force. */
+/** A client error or 503 means that the engine did not apply the order. */
 function convertAnswer(
   status: number,
   text: string,
--- a/packages/anvilhinge/src/adapters/frame_codec.ts
+++ b/packages/anvilhinge/src/adapters/frame_codec.ts
@@ -1,4 +1,4 @@
-/** Converts between the messages on the wire and those of the state machines. */
+/** Converts messages between wire and state machine formats. */
 import * as protobuf from "@bufbuild/protobuf";
 import * as agentPb from "../gen/anvilhinge/v1/agent_pb.ts";
 import type * as engine from "../ports/engine.ts";
@@ -98,7 +98,7 @@
   for (const [name, wire] of Object.entries(reasonToWire)) {
     if (wire === reason) return name as frames.RefusalReason;
   }
-  // A newer agent's reason: still a refusal before the start.
+  // An unknown reason from a newer agent is still a refusal before the start.
   return "wrong_epoch";
 }
 
@@ -153,7 +153,7 @@
   });
 }
 
-/** Decodes a frame; undefined when its body is of a kind unknown here. */
+/** Decodes a frame; undefined if its body is of an unknown kind. */
 export function decodeFrame(frame: agentPb.Frame): frames.Frame | undefined {
   const body = decodeBody(frame.body);
   if (body === undefined) return undefined;
@@ -202,7 +202,7 @@
   });
 }
 
-/** Decodes the request of a `Run` call; undefined when it names no work. */
+/** Decodes the request of a `Run` call; undefined if it contains no work. */
 export function decodeAttempt(
   request: agentPb.RunRequest,
 ): frames.Attempt | undefined {
@@ -249,14 +249,14 @@
   }
 }
 
-/** Encodes what a seal found. */
+/** Encodes the outcome of a seal. */
 export function encodeSealOutcome(
   outcome: frames.SealOutcome,
 ): agentPb.SealOutcome {
   return outcomeToWire[outcome];
 }
 
-/** Decodes what a seal found; undefined when it is of a kind unknown here. */
+/** Decodes the outcome of a seal; undefined if it is unknown. */
 export function decodeSealOutcome(
   outcome: agentPb.SealOutcome,
 ): frames.SealOutcome | undefined {
--- a/packages/anvilhinge/src/adapters/gossip_codec.ts
+++ b/packages/anvilhinge/src/adapters/gossip_codec.ts
@@ -1,4 +1,4 @@
-/** Converts gossip messages between the wire and the state machine. */
+/** Converts gossip messages between wire and state machine formats. */
 import type * as gossipMessage from "@anvilhinge/coordination/gossip_message";
 import type * as membership from "@anvilhinge/coordination/membership";
 import type * as settingsReplica from "@anvilhinge/coordination/settings_replica";
@@ -65,7 +65,7 @@
   };
 }
 
-/** Decodes records; those of an unknown state are left out. */
+/** Decodes member records; omits records with an unknown state. */
 function decodeMembers(
   wire: readonly gossipPb.MemberRecord[],
 ): readonly membership.MemberRecord[] {
@@ -114,7 +114,7 @@
   });
 }
 
-/** Encodes a request of an entry of `half`. */
+/** Encodes a request from an entry of `half`. */
 export function encodeRequest(
   request: gossipMessage.GossipRequest,
   half: string,
@@ -130,7 +130,7 @@
   });
 }
 
-/** Decodes a request; undefined when its sender is missing. */
+/** Decodes a request; undefined if its sender is missing. */
 export function decodeRequest(
   wire: gossipPb.ExchangeRequest,
 ): gossipMessage.GossipRequest | undefined {
@@ -164,7 +164,7 @@
   });
 }
 
-/** Decodes a reply; undefined when its sender is missing. */
+/** Decodes a reply; undefined if its sender is missing. */
 export function decodeReply(
   wire: gossipPb.ExchangeReply,
 ): gossipMessage.GossipReply | undefined {
--- a/packages/anvilhinge/src/adapters/gossip_codec_test.ts
+++ b/packages/anvilhinge/src/adapters/gossip_codec_test.ts
@@ -20,7 +20,7 @@
   { kind: "removed", key: "b", version: 3 },
 ] as const;
 
-test("a request survives the wire", () => {
+test("a request is unchanged after encoding and decoding", () => {
   const request: gossipMessage.GossipRequest = {
     from,
     members,
@@ -31,11 +31,11 @@
   };
   const wire = gossipCodec.encodeRequest(request, "association");
   const schema = gossipPb.ExchangeRequestSchema;
-  const read = protobuf.fromBinary(schema, protobuf.toBinary(schema, wire));
-  expect(gossipCodec.decodeRequest(read)).toEqual(request);
+  const received = protobuf.fromBinary(schema, protobuf.toBinary(schema, wire));
+  expect(gossipCodec.decodeRequest(received)).toEqual(request);
 });
 
-test("a reply survives the wire", () => {
+test("a reply is unchanged after encoding and decoding", () => {
   const reply: gossipMessage.GossipReply = {
     from,
     isReady: true,
@@ -51,7 +51,7 @@
     .toEqual(reply);
 });
 
-test("a record of a state that is unknown here is left out", () => {
+test("omits a member record with an unknown state", () => {
   const wire = gossipCodec.encodeRequest(
     { from, members, objects: [], wanted: [] },
     "association",
--- a/packages/anvilhinge/src/adapters/http_client.ts
+++ b/packages/anvilhinge/src/adapters/http_client.ts
@@ -1,7 +1,7 @@
-/** What the HTTP client adapters share. */
+/** Helpers shared by the HTTP client adapters. */
 import * as undici from "undici";
 
-/** Where requests of an adapter go. */
+/** Destination of an adapter's requests. */
 export interface Target {
   readonly origin: string;
   /** Path of the base URL without a trailing slash. */
@@ -14,23 +14,23 @@
   return { origin, basePath: pathname.replace(/\/+$/, "") };
 }
 
-/** Creates a pool whose limits in time are those of the callers' signals. */
+/** Creates a connection pool without timeouts; callers pass abort signals. */
 export function createDispatcher(): undici.Dispatcher {
   return new undici.Agent({ headersTimeout: 0, bodyTimeout: 0 });
 }
 
-/** Tells whether the connection was refused, so that nothing was sent. */
+/** Whether the connection was refused, so that nothing was sent. */
 export function isConnectionRefused(error: unknown): boolean {
   return readField(error, "code") === "ECONNREFUSED";
 }
 
-/** Returns the text of an error of the client library. */
+/** Describes an error of the client library. */
 export function describeError(error: unknown): string {
   return readField(error, "message") || readField(error, "code") ||
     String(error);
 }
 
-/** Does without `instanceof`, which fails for errors of another realm. */
+/** Avoids `instanceof`, which fails for errors from another realm. */
 function readField(error: unknown, name: "code" | "message"): string {
   if (typeof error !== "object" || error === null) return "";
   const value: unknown = Reflect.get(error, name);
--- a/packages/anvilhinge/src/adapters/http_headers.ts
+++ b/packages/anvilhinge/src/adapters/http_headers.ts
@@ -1,8 +1,8 @@
-/** Headers that concern one connection only, and those that describe bodies. */
+/** Hop-by-hop headers and `Content-Length`. */
 
 export type HeaderPair = readonly [name: string, value: string];
 
-/** Headers of one connection (RFC 9110, section 7.6.1). */
+/** Hop-by-hop headers (RFC 9110, section 7.6.1). */
 export const connectionHeaders: ReadonlySet<string> = new Set([
   "connection",
   "keep-alive",
@@ -13,8 +13,8 @@
   "upgrade",
 ]);
 
-/** Lists the names that a `Connection` header declares as its own. */
-function listDeclared(raw: readonly string[]): ReadonlySet<string> {
+/** Lists the header names that `Connection` declares as hop-by-hop. */
+function listConnectionOptions(raw: readonly string[]): ReadonlySet<string> {
   const declared = new Set<string>();
   for (let index = 0; index + 1 < raw.length; index += 2) {
     if ((raw[index] as string).toLowerCase() !== "connection") continue;
@@ -25,11 +25,11 @@
   return declared;
 }
 
-/** Lists the headers that are passed on, from names and values in turn. */
+/** Lists the end-to-end headers; `raw` alternates names and values. */
 export function listEndToEndHeaders(
   raw: readonly string[],
 ): readonly HeaderPair[] {
-  const declared = listDeclared(raw);
+  const declared = listConnectionOptions(raw);
   const kept: HeaderPair[] = [];
   for (let index = 0; index + 1 < raw.length; index += 2) {
     const name = raw[index] as string;
@@ -42,7 +42,7 @@
 
 const bodylessMethods: readonly string[] = ["GET", "HEAD", "DELETE"];
 
-/** Returns the length of a request's body, where its headers lack it. */
+/** Returns the `Content-Length` header if the request needs and lacks it. */
 export function buildContentLengthHeaders(
   request: {
     readonly method: string;
--- a/packages/anvilhinge/src/adapters/http_server.ts
+++ b/packages/anvilhinge/src/adapters/http_server.ts
@@ -1,4 +1,4 @@
-/** Serves a koa application over HTTP. */
+/** HTTP server for a koa application. */
 import * as http from "node:http";
 import type * as net from "node:net";
 import type Koa from "koa";
@@ -6,9 +6,9 @@
 export interface HttpServerOptions {
   readonly app: Koa;
   readonly host: string;
-  /** 0 lets the system choose. */
+  /** 0 lets the operating system choose. */
   readonly port: number;
-  /** Ends the server and its connections at once. */
+  /** Stops the server and closes its connections immediately. */
   readonly signal: AbortSignal;
 }
 
--- a/packages/anvilhinge/src/adapters/instance_list_http.ts
+++ b/packages/anvilhinge/src/adapters/instance_list_http.ts
@@ -1,4 +1,4 @@
-/** Instance list port over HTTP. */
+/** HTTP client of the platform's instance list. */
 import type * as undici from "undici";
 import * as zod from "zod";
 import type * as instanceList from "../ports/instance_list.ts";
@@ -7,9 +7,9 @@
 
 export interface HttpInstanceListOptions {
   readonly baseUrl: string;
-  /** Time after which a call is given up, in milliseconds. */
+  /** Timeout of a call, in milliseconds. */
   readonly timeoutMs: number;
-  /** @default a pool of its own */
+  /** @default a new connection pool */
   readonly dispatcher?: undici.Dispatcher;
 }
 
@@ -43,7 +43,7 @@
         const text = await response.body.text();
         return convertList(response.statusCode, text);
       } catch (error) {
-        return refuse(httpClient.describeError(error));
+        return buildUnavailable(httpClient.describeError(error));
       }
     },
   };
@@ -55,11 +55,14 @@
 ): instanceList.InstancesOutcome {
   const parsed = jsonLines.parseJson(text, listSchema);
   if (status !== 200 || parsed === undefined) {
-    return refuse(`answered ${status}: ${text.slice(0, 200)}`);
+    return buildUnavailable(`answered ${status}: ${text.slice(0, 200)}`);
   }
   return { kind: "listed", instances: parsed.value.instances };
 }
 
-function refuse(reason: string): instanceList.InstancesOutcome {
-  return { kind: "unavailable", message: `Instance list failed: ${reason}` };
+function buildUnavailable(reason: string): instanceList.InstancesOutcome {
+  return {
+    kind: "unavailable",
+    message: `Instance list request failed: ${reason}`,
+  };
 }
--- a/packages/anvilhinge/src/adapters/instance_list_http_test.ts
+++ b/packages/anvilhinge/src/adapters/instance_list_http_test.ts
@@ -15,7 +15,7 @@
   state: "live",
 };
 
-test("shows instances as they were the lag ago", async () => {
+test("the stand-in lists instances after the configured lag", async () => {
   const scheduler = manualScheduler.createManualScheduler();
   const registry = instanceList.createInstanceRegistry({
     clock: scheduler,
@@ -41,7 +41,7 @@
   expect((await list.list()).kind).toBe("unavailable");
 });
 
-test("lists over HTTP what was registered over HTTP", async () => {
+test("lists instances that were registered over HTTP", async () => {
   const controller = new AbortController();
   const { signal } = controller;
   const scheduler = manualScheduler.createManualScheduler();
--- a/packages/anvilhinge/src/adapters/json_lines.ts
+++ b/packages/anvilhinge/src/adapters/json_lines.ts
@@ -1,7 +1,7 @@
-/** JSON that arrives as text: whole, or one value a line. */
+/** Parsing of JSON texts, and of streams with one value per line. */
 import type * as zod from "zod";
 
-/** Returns nothing when the text is not JSON or does not fit the schema. */
+/** Returns undefined if the text is not JSON or does not match the schema. */
 export function parseJson<Value>(
   text: string,
   schema: zod.ZodType<Value>,
@@ -14,15 +14,15 @@
   }
 }
 
-/** Yields the complete lines of a stream of UTF-8 without their line ends. */
+/** Yields the complete lines of a UTF-8 stream without their line feeds. */
 export async function* readLines(
   chunks: AsyncIterable<Uint8Array>,
 ): AsyncGenerator<string> {
   const decoder = new TextDecoder();
-  let rest = "";
+  let tail = "";
   for await (const chunk of chunks) {
-    const lines = (rest + decoder.decode(chunk, { stream: true })).split("\n");
-    rest = lines.pop() ?? "";
+    const lines = (tail + decoder.decode(chunk, { stream: true })).split("\n");
+    tail = lines.pop() ?? "";
     yield* lines;
   }
 }
--- a/packages/anvilhinge/src/adapters/lease_key.ts
+++ b/packages/anvilhinge/src/adapters/lease_key.ts
@@ -1,7 +1,10 @@
-/** Keys of leases in the object API, and the bundle that a duty belongs to. */
+/**
+ * Object keys of leases. Control duties are grouped into bundles with one lease
+ * for each bundle.
+ */
 import * as bundle from "@anvilhinge/coordination/bundle";
 
-/** Bundles of control duties that each half has. */
+/** Number of bundles of control duties per half. */
 export const bundlesPerHalf = 8;
 
 /** Formats the key of a bundle's lease, `leases/<half>/<bundle>`. */
@@ -9,7 +12,7 @@
   return `leases/${half}/${bundleNumber}`;
 }
 
-/** Formats the key of the lease that a duty of a half comes under. */
+/** Formats the key of the lease that covers a duty of a half. */
 export function formatDutyLeaseKey(half: string, dutyKey: string): string {
   const bundleNumber = bundle.selectBundle(dutyKey, bundlesPerHalf);
   return formatLeaseKey(half, bundleNumber);
--- a/packages/anvilhinge/src/adapters/object_store_http.ts
+++ b/packages/anvilhinge/src/adapters/object_store_http.ts
@@ -1,4 +1,4 @@
-/** Object store port over HTTP. */
+/** HTTP client of the object store. */
 import type * as undici from "undici";
 import * as zod from "zod";
 import type * as objectStore from "../ports/object_store.ts";
@@ -7,9 +7,9 @@
 
 export interface HttpObjectStoreOptions {
   readonly baseUrl: string;
-  /** Time after which a call is given up; a watch only until it is open. */
+  /** Timeout of a call; for a watch, the timeout until it is open. */
   readonly timeoutMs: number;
-  /** @default a pool of its own */
+  /** @default a new connection pool */
   readonly dispatcher?: undici.Dispatcher;
 }
 
@@ -53,12 +53,12 @@
   }
   /** The connection was refused, so nothing was sent. */
   | { readonly kind: "refused"; readonly message: string }
-  /** The call was sent, at least in part, and no whole answer arrived. */
+  /** The call was sent at least in part, but no complete answer arrived. */
   | { readonly kind: "lost"; readonly message: string };
 
 type Send = (call: Call) => Promise<Answer>;
 
-/** Creates a client; a write that timed out or was cut off is `unknown`. */
+/** Creates a client; writes that time out or are interrupted are `unknown`. */
 export function createHttpObjectStore(
   options: HttpObjectStoreOptions,
 ): objectStore.ObjectStore {
@@ -126,12 +126,12 @@
   send: Send,
 ): Promise<objectStore.ReadOutcome> {
   const answer = await send({ method: "GET", path: composePath(key) });
-  if (answer.kind !== "answered") return refuse(answer.message);
+  if (answer.kind !== "answered") return buildUnavailable(answer.message);
   if (answer.status === 404) return { kind: "missing" };
   const version = Number(/^"(\d+)"$/.exec(answer.tag)?.[1] ?? 0);
   const parsed = jsonLines.parseJson(answer.text, zod.unknown());
   if (answer.status !== 200 || version === 0 || parsed === undefined) {
-    return refuse(describeAnswer(answer));
+    return buildUnavailable(describeAnswer(answer));
   }
   return { kind: "found", object: { key, value: parsed.value, version } };
 }
@@ -142,20 +142,20 @@
 ): Promise<objectStore.ListOutcome> {
   const path = `/objects?prefix=${encodeURIComponent(prefix)}`;
   const answer = await send({ method: "GET", path });
-  if (answer.kind !== "answered") return refuse(answer.message);
+  if (answer.kind !== "answered") return buildUnavailable(answer.message);
   const parsed = jsonLines.parseJson(answer.text, listSchema);
   if (answer.status !== 200 || parsed === undefined) {
-    return refuse(describeAnswer(answer));
+    return buildUnavailable(describeAnswer(answer));
   }
   return { kind: "listed", ...parsed.value };
 }
 
 /**
- * A status from 400 on tells that the API refused before any effect, but for
- * the server errors other than 503, which tell nothing about the effect.
+ * A client error or 503 means that the API refused the write before any effect.
+ * After any other server error it is unknown whether the write took effect.
  */
 function convertWrite(answer: Answer): objectStore.WriteOutcome {
-  if (answer.kind === "refused") return refuse(answer.message);
+  if (answer.kind === "refused") return buildUnavailable(answer.message);
   if (answer.kind === "lost") {
     return { kind: "unknown", message: answer.message };
   }
@@ -171,10 +171,10 @@
   }
   const isRefusal = answer.status === 503 ||
     (answer.status >= 400 && answer.status < 500);
-  return isRefusal ? refuse(message) : { kind: "unknown", message };
+  return isRefusal ? buildUnavailable(message) : { kind: "unknown", message };
 }
 
-function refuse(message: string): objectStore.Unavailable {
+function buildUnavailable(message: string): objectStore.Unavailable {
   return { kind: "unavailable", message };
 }
 
@@ -216,7 +216,7 @@
     for await (const line of jsonLines.readLines(response.body)) {
       if (signal.aborted) return;
       const parsed = jsonLines.parseJson(line, eventSchema);
-      if (parsed === undefined) return close(`Bad event in a watch: ${line}`);
+      if (parsed === undefined) return close(`Invalid watch event: ${line}`);
       if (parsed.value.kind === "closed") return close(parsed.value.message);
       onEvent(parsed.value);
     }
--- a/packages/anvilhinge/src/adapters/object_store_http_test.ts
+++ b/packages/anvilhinge/src/adapters/object_store_http_test.ts
@@ -36,7 +36,7 @@
 
 describe("object store over HTTP", () => {
   test.each(["a/b", "a/../b c", "..", "ö?#%/", "a//b"])(
-    "keeps the key %s and its conditions",
+    "reads, writes and removes the key %s conditionally",
     async (key) => {
       const { api, store } = await start();
       expect(await store.read(key)).toEqual({ kind: "missing" });
@@ -69,7 +69,7 @@
     expect(api.read("k")).toEqual({ kind: "missing" });
   });
 
-  test("tells a lost answer from a refusal", async () => {
+  test("distinguishes a lost answer from a refusal", async () => {
     const { api, faultSwitch, store } = await start();
     faultSwitch.set({ kind: "answer_lost" }, { callCount: 1 });
     expect((await store.write("k", 1, { ifVersion: 0 })).kind).toBe("unknown");
@@ -84,14 +84,14 @@
       .toBe("unavailable");
   });
 
-  test("gives up a stalled write as unknown", async () => {
+  test("reports a stalled write as unknown after the timeout", async () => {
     const { faultSwitch, store } = await start(50);
     faultSwitch.set({ kind: "stall" });
     expect((await store.write("k", 1, { ifVersion: 0 })).kind).toBe("unknown");
     expect((await store.list("")).kind).toBe("unavailable");
   });
 
-  test("delivers a watch in order and tells when it broke", async () => {
+  test("delivers watch events in order and reports a broken watch", async () => {
     const { api, faultSwitch, store } = await start();
     const events: ports.WatchEvent[] = [];
     api.write("a/1", "ä", { ifVersion: 0 });
@@ -117,7 +117,7 @@
     expect(api.getCallCounts().watch).toBe(1);
   });
 
-  test("delivers nothing once the watcher has ended the watch", async () => {
+  test("delivers nothing after the watcher has ended the watch", async () => {
     const { api, store } = await start();
     const ended = new AbortController();
     const events: ports.WatchEvent[] = [];
--- a/packages/anvilhinge/src/adapters/order_codec.ts
+++ b/packages/anvilhinge/src/adapters/order_codec.ts
@@ -1,4 +1,4 @@
-/** Converts orders and their answers between the wire and the agent. */
+/** Converts orders and their answers between wire and agent formats. */
 import type * as fencing from "@anvilhinge/coordination/fencing";
 import * as protobuf from "@bufbuild/protobuf";
 import * as ordersPb from "../gen/anvilhinge/v1/orders_pb.ts";
@@ -7,7 +7,7 @@
 type Order = fencing.FencedOrder<engineOrders.EngineOrder>;
 type Answer = fencing.OrderAnswer<engineOrders.EngineState>;
 
-/** Decodes an order; undefined when it names nothing to do. */
+/** Decodes an order; undefined if it contains none. */
 export function decodeOrder(wire: ordersPb.OrderRequest): Order | undefined {
   const order = decodeBody(wire.order);
   if (order === undefined) return undefined;
@@ -39,7 +39,7 @@
   }
 }
 
-/** Encodes an order to the rank of a group. */
+/** Encodes an order to a rank of a group. */
 export function encodeOrder(
   { id, term, order }: Order,
   target: { readonly group: string; readonly rank: number },
--- a/packages/anvilhinge/src/adapters/stream_queue.ts
+++ b/packages/anvilhinge/src/adapters/stream_queue.ts
@@ -1,9 +1,9 @@
-/** A queue that turns pushed values into an async iterable for a stream. */
+/** Queue that exposes pushed values as an async iterable for a stream. */
 
 /** Queue between a producer that pushes and one consumer that iterates. */
 export interface StreamQueue<T> extends AsyncIterable<T> {
   push(value: T): void;
-  /** Ends the iteration after the values that were pushed before. */
+  /** Ends the iteration after the values that are already queued. */
   close(): void;
 }
 
--- a/packages/anvilhinge/src/adapters/system_scheduler.ts
+++ b/packages/anvilhinge/src/adapters/system_scheduler.ts
@@ -1,8 +1,8 @@
-/** Scheduler on the platform's monotonic clock and timers. */
+/** Scheduler based on the monotonic clock and timers of Node.js. */
 import { performance } from "node:perf_hooks";
 import type * as scheduler from "../ports/scheduler.ts";
 
-/** Creates a scheduler whose instants are those of `performance.now`. */
+/** Creates a scheduler whose clock is `performance.now`. */
 export function createSystemScheduler(): scheduler.Scheduler {
   return { now: () => performance.now(), schedule: startTimer };
 }
