--- a/packages/anvilhinge/src/adapters/assignment_codec.ts
+++ b/packages/anvilhinge/src/adapters/assignment_codec.ts
@@ -56,7 +56,7 @@
   });
 }
 
-/** Decodes an assignment; undefined if its state is unspecified. */
+/** Decodes an assignment; undefined if its state is unknown. */
 export function decodeAssignment(
   wire: entryPb.GroupAssignment,
 ): assignment.Assignment | undefined {
--- a/packages/anvilhinge/src/adapters/connect_server.ts
+++ b/packages/anvilhinge/src/adapters/connect_server.ts
@@ -84,7 +84,7 @@
   });
   options.signal.addEventListener("abort", () => {
     server.close();
-    // Handlers end on the same signal and still need their streams for that.
+    // Deferred, because handlers end on this signal and still use the streams.
     setImmediate(() => {
       for (const session of sessions) session.destroy();
     });
--- a/packages/anvilhinge/src/explain/request_report.ts
+++ b/packages/anvilhinge/src/explain/request_report.ts
@@ -32,7 +32,7 @@
 const afterMs = 1_000;
 const maxRelatedLines = 40;
 
-/** Messages about single requests, which are left out of related lines. */
+/** Messages about single requests; too frequent to list as related lines. */
 const requestMessages: readonly string[] = [
   "[entry] Request done",
   "[entry] Refused a request",
@@ -83,7 +83,7 @@
     ["priority", fields["priority"]],
     ["time left in ms", fields["leftMs"]],
     ["settings version", fields["settingsVersion"]],
-    ["age of the routing view in ms", fields["viewAgeMs"]],
+    ["view age in ms", fields["viewAgeMs"]],
   ].filter(([, value]) => value !== undefined && value !== "");
   const text = details.map(([name, value]) => `${name} ${value}`).join(", ");
   return `request ${fields["requestId"]}: ${text}`;
--- a/packages/anvilhinge/src/ports/frames.ts
+++ b/packages/anvilhinge/src/ports/frames.ts
@@ -88,7 +88,7 @@
   readonly deadlineMs: number;
   /** Incarnation of the agent that may run the attempt; others refuse it. */
   readonly incarnation: string;
-  /** Time on the agent's clock after which the agent refuses to start. */
+  /** Time on the agent's clock after which the agent refuses the attempt. */
   readonly startByMs: number;
   /** False if a second run would repeat the effect (not idempotent). */
   readonly isRepeatable: boolean;
@@ -112,11 +112,11 @@
 }
 
 /**
- * Outcome of sealing an attempt, which prevents a start if there was none yet.
- * `sealed`: the attempt did not start and never will. `unknown`: the agent has
- * restarted, or its record of the attempt is past retention.
+ * Outcome of sealing an attempt; sealing forbids the start of an attempt that
+ * has not started yet. `sealed`: the attempt did not start and never will.
+ * `unknown`: the agent has restarted, or its record is past retention.
  */
 export type SealOutcome = "sealed" | "running" | "finished" | "unknown";
 
-/** Longest time from an agent's description to the start of an attempt. */
+/** Longest time from an `AgentDescription` to the start of an attempt. */
 export const startWindowMs = 10_000;
--- a/packages/anvilhinge/src/telemetry/logger.ts
+++ b/packages/anvilhinge/src/telemetry/logger.ts
@@ -39,7 +39,7 @@
 }
 
 const maxWarnedCauses = 1_024;
-/** A warning is logged after each such number of dropped lines. */
+/** Number of dropped lines per warning. */
 const linesPerWarning = 100;
 
 /** Creates a logger whose messages begin with `[component]`. */
--- a/packages/anvilhinge/src/telemetry/routed_logger.ts
+++ b/packages/anvilhinge/src/telemetry/routed_logger.ts
@@ -15,7 +15,7 @@
   countDropped(): number;
 }
 
-/** Limit for rate-limited lines; this rate costs about 1% of a core. */
+/** Rate limit of `infoRateLimited`; this rate costs about 1% of a core. */
 const rateLimitedLinesPerSecond = 100;
 const rateLimitedBurstLines = 300;
 
