--- a/packages/anvilhinge/src/entry/callers/answer_writer.ts
+++ b/packages/anvilhinge/src/entry/callers/answer_writer.ts
@@ -7,7 +7,7 @@
 import type * as runner from "../session/runner.ts";
 import type * as session from "../session/session.ts";
 
-/** Headers that belong to one connection and are not passed on. */
+/** Headers that apply to one connection only and are not forwarded. */
 const connectionHeaders: readonly string[] = [
   "connection",
   "content-length",
@@ -19,17 +19,17 @@
 export interface AnswerWriterOptions {
   readonly context: Koa.Context;
   readonly requestId: string;
-  /** Set when an earlier entry delivered a part of this stream. */
+  /** Set if the caller resumes a stream of which an entry delivered a part. */
   readonly resumePoint?: eventId.EventPoint;
 }
 
-/** Sink of a session together with the moment when koa may respond. */
+/** Answer sink of a session that signals when Koa may send the response. */
 export interface AnswerWriter extends runner.AnswerSink {
   /** Resolves when status, headers and body of the response are set. */
   readonly ready: Promise<void>;
 }
 
-interface Source {
+interface AnswerSource {
   readonly upstream: session.Upstream;
   readonly attemptId: string;
 }
@@ -52,7 +52,7 @@
   const body = new stream.PassThrough();
   let isEventStream = resumePoint !== undefined;
   let isOpen = false;
-  let source: Source | undefined;
+  let source: AnswerSource | undefined;
   let setReady = () => {};
   const ready = new Promise<void>((resolve) => {
     setReady = resolve;
@@ -76,7 +76,9 @@
     }
   }
 
-  function getPoint(sequence: number): Omit<eventId.EventPoint, "index"> {
+  function buildEventPoint(
+    sequence: number,
+  ): Omit<eventId.EventPoint, "index"> {
     if (resumePoint !== undefined) return { ...resumePoint, sequence };
     return {
       requestId,
@@ -110,7 +112,7 @@
       const skip = resumePoint?.sequence === sequence
         ? resumePoint.index + 1
         : 0;
-      const point = getPoint(sequence);
+      const point = buildEventPoint(sequence);
       body.write(eventId.insertEventIds(data, { point, skip }));
     },
     end() {
@@ -125,8 +127,8 @@
         return;
       }
       if (!isEventStream) {
-        // The status line has left: a broken connection is the one way to say
-        // that the answer is not whole.
+        // The status line has been sent, so only a broken connection can show
+        // the caller that the answer is incomplete.
         body.destroy(new Error(error.message));
         return;
       }
--- a/packages/anvilhinge/src/entry/callers/caller_error.ts
+++ b/packages/anvilhinge/src/entry/callers/caller_error.ts
@@ -1,4 +1,4 @@
-/** Errors as callers see them: typed JSON with a code that programs can match. */
+/** Error answers for callers: typed JSON with a machine-readable code. */
 import type * as session from "../session/session.ts";
 
 /** Code of an error answer. */
@@ -25,11 +25,11 @@
 export interface CallerError {
   readonly status: number;
   readonly code: CallerErrorCode;
-  /** What was wrong, where, and what to do. */
+  /** Describes the problem, where it is, and how to solve it. */
   readonly message: string;
-  /** Advice when to come back, in milliseconds; 0 when there is none. */
+  /** Suggested delay before a retry, in milliseconds; 0 = no suggestion. */
   readonly retryAfterMs?: number;
-  /** Set when the code alone does not tell. */
+  /** Whether the request ran; set if it does not follow from the code. */
   readonly ran?: session.RunStatus;
 }
 
@@ -39,7 +39,7 @@
     readonly code: CallerErrorCode;
     readonly message: string;
     readonly request_id: string;
-    /** Whether the request had any effect: `no`, `yes` in part, or `unknown`. */
+    /** Whether the request ran, at least in part, and may have had an effect. */
     readonly ran: session.RunStatus;
   };
 }
@@ -94,7 +94,7 @@
   }
 }
 
-function describeEffect(error: CallerError): session.RunStatus {
+function resolveRunStatus(error: CallerError): session.RunStatus {
   if (error.ran !== undefined) return error.ran;
   switch (error.code) {
     case "already_run":
@@ -120,12 +120,12 @@
       code: error.code,
       message: error.message,
       request_id: requestId,
-      ran: describeEffect(error),
+      ran: resolveRunStatus(error),
     },
   };
 }
 
-/** Returns the value of `Retry-After` in whole seconds; undefined when none. */
+/** Returns the value of `Retry-After` in whole seconds, if there is any. */
 export function computeRetryAfter(error: CallerError): string | undefined {
   const retryAfterMs = error.retryAfterMs ?? 0;
   if (retryAfterMs === 0) return undefined;
--- a/packages/anvilhinge/src/entry/callers/callers_http.ts
+++ b/packages/anvilhinge/src/entry/callers/callers_http.ts
@@ -1,4 +1,4 @@
-/** Callers' HTTP: chat completions, models, services and address answers. */
+/** HTTP API for callers: chat completions, models, services and addresses. */
 import * as net from "node:net";
 import Router from "@koa/router";
 import type Koa from "koa";
@@ -15,9 +15,9 @@
 const defaultModelTimeoutMs = 60_000;
 const notReadyRetryMs = 1_000;
 
-type Handled = { readonly kind: "ok" } | requestChecks.Refusal;
+type HandlerResult = { readonly kind: "ok" } | requestChecks.Refusal;
 
-/** Creates the callers' routes of an entry. */
+/** Creates the routes of an entry for callers. */
 export function createCallersRouter(entry: context.EntryContext): Router {
   const router = new Router();
   const half = entry.settings.half;
@@ -26,10 +26,10 @@
     help: "Answers to callers by status code",
     labelNames: ["status"],
   });
-  const askOutcome = outcomeLookup.createOutcomeLookup(entry);
+  const findOutcome = outcomeLookup.createOutcomeLookup(entry);
   const runRequest = requestRunner.createRequestRunner(entry);
 
-  async function handleChat(koa: Koa.Context): Promise<Handled> {
+  async function handleChat(koa: Koa.Context): Promise<HandlerResult> {
     const workspace = requestChecks.checkWorkspace(entry, koa);
     if (workspace.kind === "error") return workspace;
     const point = requestChecks.checkResumePoint(entry, koa);
@@ -40,10 +40,10 @@
     if (chat.kind === "error") return chat;
     const { model, stream } = chat.value;
     if (!workspace.value.settings.models.includes(model)) {
-      const known = workspace.value.settings.models.join(", ") || "none";
+      const openModels = workspace.value.settings.models.join(", ") || "none";
       return requestChecks.buildRefusal(400, "unknown_model", {
         message:
-          `Model "${model}" is not open to workspace "${workspace.value.id}"; open to it: ${known}`,
+          `Model "${model}" is not open to workspace "${workspace.value.id}"; open to it: ${openModels}`,
       });
     }
     const settings = entry.catalog.findModel(workspace.value, model);
@@ -70,17 +70,18 @@
     return { kind: "ok" };
   }
 
-  async function handleService(koa: Koa.Context): Promise<Handled> {
+  async function handleService(koa: Koa.Context): Promise<HandlerResult> {
     const workspace = requestChecks.checkWorkspace(entry, koa);
     if (workspace.kind === "error") return workspace;
     const name = String(koa.params.service);
     const service = entry.catalog.findService(workspace.value, name);
-    const isOpen = workspace.value.settings.services.includes(name);
-    if (service === undefined || !isOpen) {
-      const known = workspace.value.settings.services.join(", ") || "none";
+    const isAllowed = workspace.value.settings.services.includes(name);
+    if (service === undefined || !isAllowed) {
+      const openServices = workspace.value.settings.services.join(", ") ||
+        "none";
       return requestChecks.buildRefusal(400, "unknown_service", {
         message:
-          `Service "${name}" is not open to workspace "${workspace.value.id}"; open to it: ${known}`,
+          `Service "${name}" is not open to workspace "${workspace.value.id}"; open to it: ${openServices}`,
       });
     }
     const deadline = requestChecks.checkDeadline(koa, service.timeoutMs);
@@ -124,7 +125,7 @@
     return { kind: "ok" };
   }
 
-  function handleModels(koa: Koa.Context): Handled {
+  function handleModels(koa: Koa.Context): HandlerResult {
     const workspace = requestChecks.checkWorkspace(entry, koa);
     if (workspace.kind === "error") return workspace;
     const data = workspace.value.settings.models.map((id) => ({
@@ -136,19 +137,19 @@
     return { kind: "ok" };
   }
 
-  async function handleOutcome(koa: Koa.Context): Promise<Handled> {
+  async function handleOutcome(koa: Koa.Context): Promise<HandlerResult> {
     const workspace = requestChecks.checkWorkspace(entry, koa);
     if (workspace.kind === "error") return workspace;
     const requestId = String(koa.params.requestId);
     setRequestId(koa, requestId);
-    const answer = await askOutcome({
+    const outcome = await findOutcome({
       workspace: workspace.value.id,
       requestId,
     });
-    return outcomeAnswer.writeOutcome(koa, answer);
+    return outcomeAnswer.writeOutcome(koa, outcome);
   }
 
-  function handleAddresses(koa: Koa.Context): Handled {
+  function handleAddresses(koa: Koa.Context): HandlerResult {
     const workspace = requestChecks.checkWorkspace(entry, koa);
     if (workspace.kind === "error") return workspace;
     const members = entry.listMembers().filter(({ id }) =>
@@ -157,7 +158,7 @@
     const answer = addresses.buildAddressAnswer(members, {
       workspace: workspace.value.id,
       ownAddress: entry.state.isLeaving ? undefined : describeOwnAddress(koa),
-      nearDomain: readNearDomain(koa) ?? entry.settings.failureDomain,
+      nearDomain: getNearDomain(koa) ?? entry.settings.failureDomain,
       random: entry.random,
       ttlMs: entry.settings.addressAnswerTtlMs,
     });
@@ -165,29 +166,29 @@
     return { kind: "ok" };
   }
 
-  function handle(
-    handler: (koa: Koa.Context) => Handled | Promise<Handled>,
+  function wrapHandler(
+    handler: (koa: Koa.Context) => HandlerResult | Promise<HandlerResult>,
   ): (koa: Koa.Context) => Promise<void> {
     return async (koa) => {
       const requestId = requestChecks.checkRequestId(koa, entry.createId);
       setRequestId(koa, requestId.kind === "valid" ? requestId.value : "");
-      const handled = requestId.kind === "valid"
+      const result = requestId.kind === "valid"
         ? await handler(koa)
         : requestId;
-      if (handled.kind === "error") {
+      if (result.kind === "error") {
         answerWriter.writeCallerError(
           koa,
-          requestChecks.addRetryCaveat(koa, handled.error),
+          requestChecks.addRetryCaveat(koa, result.error),
         );
       }
       countAnswer({ labels: { status: String(koa.status) } });
     };
   }
 
-  function takeWork(
-    handler: (koa: Koa.Context) => Promise<Handled>,
+  function wrapRequestHandler(
+    handler: (koa: Koa.Context) => Promise<HandlerResult>,
   ): (koa: Koa.Context) => Promise<void> {
-    return handle((koa) => {
+    return wrapHandler((koa) => {
       const { isReady, isClosed } = entry.state;
       if (isReady && !isClosed) return handler(koa);
       return {
@@ -204,26 +205,31 @@
     });
   }
 
-  router.post("/v1/chat/completions", takeWork(handleChat));
-  router.get("/v1/requests/:requestId", handle(handleOutcome));
-  router.get("/v1/models", handle(handleModels));
-  router.get("/v1/addresses", handle(handleAddresses));
-  router.all("/services/:service{/*path}", takeWork(handleService));
+  router.post("/v1/chat/completions", wrapRequestHandler(handleChat));
+  router.get("/v1/requests/:requestId", wrapHandler(handleOutcome));
+  router.get("/v1/models", wrapHandler(handleModels));
+  router.get("/v1/addresses", wrapHandler(handleAddresses));
+  router.all("/services/:service{/*path}", wrapRequestHandler(handleService));
   return router;
 }
 
-/** Names the request in all that is written and sent for it. */
+/** Sets the request id for the session, the answer and the response header. */
 function setRequestId(koa: Koa.Context, requestId: string): void {
   koa.state.requestId = requestId;
   koa.set(requestChecks.requestIdHeader, requestId);
 }
 
-/** Headers of a service call that are passed on to the service. */
+/** Selects the headers of a service call that are forwarded to the service. */
 function selectServiceHeaders(
   koa: Koa.Context,
 ): readonly (readonly [name: string, value: string])[] {
-  const passed = ["accept", "content-type", "idempotency-key", "if-match"];
-  return passed.flatMap((name) => {
+  const forwardedNames = [
+    "accept",
+    "content-type",
+    "idempotency-key",
+    "if-match",
+  ];
+  return forwardedNames.flatMap((name) => {
     const value = koa.get(name);
     return value === "" ? [] : [[name, value] as const];
   });
@@ -240,14 +246,14 @@
   return methods.includes(call.method) && !isExcluded;
 }
 
-/** Address that the caller has reached this entry at. */
+/** Returns the address at which the caller reached this entry. */
 function describeOwnAddress(koa: Koa.Context): string {
   const { localAddress = "", localPort = 0 } = koa.req.socket;
   const host = net.isIPv6(localAddress) ? `[${localAddress}]` : localAddress;
   return `${host}:${localPort}`;
 }
 
-function readNearDomain(koa: Koa.Context): string | undefined {
+function getNearDomain(koa: Koa.Context): string | undefined {
   const domain = koa.query.failure_domain;
   return typeof domain === "string" ? domain : undefined;
 }
--- a/packages/anvilhinge/src/entry/callers/outcome_answer.ts
+++ b/packages/anvilhinge/src/entry/callers/outcome_answer.ts
@@ -1,11 +1,11 @@
-/** Writes what became of a call, for `GET /v1/requests/<request id>`. */
+/** Writes the outcome of a call, for `GET /v1/requests/<request id>`. */
 import type Koa from "koa";
 import type * as outcomeLookup from "../session/outcome_lookup.ts";
 import type * as requestChecks from "./request_checks.ts";
 
 const retryAfterMs = 1_000;
 
-/** JSON body of the answer; `answer` is set once the call has finished. */
+/** JSON body; `answer` is set if the call has finished. */
 export interface OutcomeBody {
   readonly request_id: string;
   readonly state: "running" | "finished" | "not_run" | "unknown";
@@ -13,12 +13,12 @@
   readonly answer?: {
     readonly status: number;
     readonly headers: readonly (readonly [name: string, value: string])[];
-    /** Text of the body; missing when it was too large to keep. */
+    /** Text of the body; undefined if the body was too large to keep. */
     readonly body?: string;
   };
 }
 
-/** Writes the outcome, or returns the error to answer with. */
+/** Writes the outcome, or returns the error with which to answer. */
 export function writeOutcome(
   koa: Koa.Context,
   outcome: outcomeLookup.CallOutcome,
--- a/packages/anvilhinge/src/entry/callers/request_checks.ts
+++ b/packages/anvilhinge/src/entry/callers/request_checks.ts
@@ -1,4 +1,4 @@
-/** Checks of callers' requests: workspace, deadline, body, resume point. */
+/** Validates requests of callers: workspace, deadline, body, resume point. */
 import coBody from "co-body";
 import type Koa from "koa";
 import type * as callerError from "./caller_error.ts";
@@ -7,14 +7,17 @@
 import * as eventId from "../session/event_id.ts";
 import type * as session from "../session/session.ts";
 
-/** Names the workspace of a request as `<team>/<name>`. */
+/** Header with the workspace of a request as `<team>/<name>`. */
 export const workspaceHeader = "X-Workspace";
-/** Names the time that the caller gives the request, in milliseconds. */
+/** Header with the time limit of the request, in milliseconds. */
 export const deadlineHeader = "X-Deadline-Ms";
-/** Names the request; drawn by the entry when the caller names none. */
+/** Header with the request id; the entry generates an id if it is missing. */
 export const requestIdHeader = "X-Request-Id";
 
-/** Makes calls that must not run twice one call, however often it is sent. */
+/**
+ * Header with the idempotency key: calls of a workspace that must not run twice
+ * and have the same key count as one call, however often it is sent.
+ */
 export const idempotencyKeyHeader = "Idempotency-Key";
 
 const maxIdempotencyKeyLength = 256;
@@ -23,18 +26,18 @@
 const tooLargeStatus = 413;
 const tooManyRequestsStatus = 429;
 
-/** A request that is answered with an error. */
+/** Refusal of a request with an error answer. */
 export interface Refusal {
   readonly kind: "error";
   readonly error: callerError.CallerError;
 }
 
-/** A checked part of a request, or the error to answer with. */
+/** A valid part of a request, or the refusal of the request. */
 export type CheckResult<T> =
   | { readonly kind: "valid"; readonly value: T }
   | Refusal;
 
-/** What a chat completion request asks for. */
+/** The fields of a chat completion request that the entry uses. */
 export interface ChatRequest {
   readonly model: string;
   readonly stream: boolean;
@@ -49,7 +52,7 @@
   return { kind: "error", error: { status, code, message } };
 }
 
-/** Finds the workspace that the request names by header or query. */
+/** Finds the workspace requestId in the header or the query of the request. */
 export function checkWorkspace(
   entry: context.EntryContext,
   koa: Koa.Context,
@@ -70,7 +73,7 @@
   });
 }
 
-/** Returns the caller's deadline in milliseconds from now. */
+/** Returns the time left until the deadline of the request, in milliseconds. */
 export function checkDeadline(
   koa: Koa.Context,
   defaultMs: number,
@@ -87,7 +90,7 @@
   });
 }
 
-/** Reads the whole body, up to the limit of the settings. */
+/** Reads the whole body, up to the size limit in the settings. */
 export async function readBody(
   entry: context.EntryContext,
   koa: Koa.Context,
@@ -109,7 +112,7 @@
   }
 }
 
-/** Reads what the entry needs of a chat completion request. */
+/** Parses the body of a chat completion request. */
 export function parseChatRequest(
   body: Buffer,
 ): CheckResult<ChatRequest> {
@@ -147,7 +150,7 @@
   };
 }
 
-/** Returns the upstream that an event id names; its address may be empty. */
+/** Returns the upstream of an event id; its address is empty if unknown. */
 export function findUpstream(
   entry: context.EntryContext,
   point: eventId.EventPoint,
@@ -164,7 +167,7 @@
   };
 }
 
-/** Parses `Last-Event-ID`; undefined when the header is missing. */
+/** Parses the header `Last-Event-ID`; the value is undefined if it is missing. */
 export function checkResumePoint(
   entry: context.EntryContext,
   koa: Koa.Context,
@@ -172,23 +175,25 @@
   const text = koa.get("Last-Event-ID");
   if (text === "") return { kind: "valid", value: undefined };
   const point = eventId.parseEventId(text);
-  const isKnown = point !== undefined &&
+  const isKnownUpstream = point !== undefined &&
     findUpstream(entry, point).address !== "";
-  if (isKnown) return { kind: "valid", value: point };
+  if (isKnownUpstream) return { kind: "valid", value: point };
   return buildRefusal(400, "invalid_header", {
     message:
       `Header Last-Event-ID is "${text}"; send the id of the last event as it came`,
   });
 }
 
-/** Returns the caller's request id, or a new one when there is none. */
+/** Returns the caller's request id, or a new id if the header is missing. */
 export function checkRequestId(
   koa: Koa.Context,
   createId: () => string,
 ): CheckResult<string> {
-  const given = koa.get(requestIdHeader);
-  if (given === "") return { kind: "valid", value: createId() };
-  if (requestIdPattern.test(given)) return { kind: "valid", value: given };
+  const requestId = koa.get(requestIdHeader);
+  if (requestId === "") return { kind: "valid", value: createId() };
+  if (requestIdPattern.test(requestId)) {
+    return { kind: "valid", value: requestId };
+  }
   return buildRefusal(400, "invalid_header", {
     message:
       `Header ${requestIdHeader} must have 8 to 128 characters of A-Z, a-z, 0-9, ".", "_", "-"`,
@@ -196,21 +201,22 @@
 }
 
 /**
- * Qualifies the refusal of a call that may have been sent before: that this
- * sending did not run says nothing about an earlier one.
+ * Adds to the refusal of a call with an idempotency key that the call may have
+ * run earlier: this request did not run, but the caller may have sent the call
+ * before.
  */
 export function addRetryCaveat(
   koa: Koa.Context,
   error: callerError.CallerError,
 ): callerError.CallerError {
-  const isNamed = koa.get(idempotencyKeyHeader) !== "";
-  if (!isNamed || error.status < tooManyRequestsStatus) return error;
+  const hasKey = koa.get(idempotencyKeyHeader) !== "";
+  if (!hasKey || error.status < tooManyRequestsStatus) return error;
   const message =
     `${error.message}; this sending did not run, an earlier one may have`;
   return { ...error, message, ran: "unknown" };
 }
 
-/** Returns the caller's idempotency key; empty when there is none. */
+/** Returns the caller's idempotency key; empty if the header is missing. */
 export function checkIdempotencyKey(koa: Koa.Context): CheckResult<string> {
   const value = koa.get(idempotencyKeyHeader);
   if (value.length <= maxIdempotencyKeyLength) return { kind: "valid", value };
--- a/packages/anvilhinge/src/entry/callers/request_runner.ts
+++ b/packages/anvilhinge/src/entry/callers/request_runner.ts
@@ -1,4 +1,4 @@
-/** Runs callers' requests: one session, one span, one answer for each. */
+/** Runs requests of callers, each with its own session, span and answer. */
 import * as api from "@opentelemetry/api";
 import type * as limits from "@anvilhinge/coordination/limits";
 import type Koa from "koa";
@@ -14,18 +14,18 @@
 
 export interface RunOptions {
   readonly need: upstreams.Need;
-  /** Set when the caller resumes a stream. */
+  /** Set if the caller resumes a stream. */
   readonly resumePoint?: eventId.EventPoint;
 }
 
-/** Runs requests of callers; resolves when the response may be sent. */
+/** Runs a request of a caller; resolves when Koa may send the response. */
 export type RunRequest = (
   koa: Koa.Context,
   request: session.Request,
   options: RunOptions,
 ) => Promise<void>;
 
-/** Creates the function that runs requests, with its metrics. */
+/** Creates the function that runs requests, and registers its metrics. */
 export function createRequestRunner(entry: context.EntryContext): RunRequest {
   const countAttempt = entry.metrics.createCounter({
     name: "anvilhinge_attempts_total",
@@ -80,8 +80,8 @@
     return tracing.injectContext(active) as Readonly<Record<string, string>>;
   }
 
-  /** Answers a request of a workspace that is over a limit. */
-  function writeLimited(
+  /** Refuses a request of a workspace that is over one of its limits. */
+  function writeLimitExceeded(
     koa: Koa.Context,
     workspace: string,
     { limit, retryAfterMs }: Extract<limits.AdmitOutcome, { kind: "refused" }>,
@@ -95,29 +95,29 @@
     });
   }
 
-  /** Runs one request to its end and sets the response. */
+  /** Runs a request; resolves once its response is set, maybe before its end. */
   async function runRequest(
     koa: Koa.Context,
     request: session.Request,
-    { need, resumePoint: point }: RunOptions,
+    { need, resumePoint }: RunOptions,
   ): Promise<void> {
-    const isAdmitted = point === undefined;
+    const isAdmitted = resumePoint === undefined;
     if (isAdmitted) {
       const admitted = entry.policy.admit(request.workspace);
       if (admitted.kind === "refused") {
-        return writeLimited(koa, request.workspace, admitted);
+        return writeLimitExceeded(koa, request.workspace, admitted);
       }
     }
     const writer = answerWriter.createAnswerWriter({
       context: koa,
       requestId: request.requestId,
-      resumePoint: point,
+      resumePoint,
     });
     const span = startSpan(koa, request, need);
-    const callerGone = new AbortController();
+    const callerAbort = new AbortController();
     const closed = new Promise<void>((resolve) =>
       koa.res.once("close", () => {
-        if (!koa.res.writableFinished) callerGone.abort();
+        if (!koa.res.writableFinished) callerAbort.abort();
         resolve();
       })
     );
@@ -131,17 +131,17 @@
         createAttemptId: entry.createId,
         chooseUpstream: policy.chooseUpstream,
         takeRetry: () => takeRetry(policy),
-        resumePoint: point === undefined ? undefined : {
-          upstream: requestChecks.findUpstream(entry, point),
-          attemptId: point.attemptId,
-          fromSequence: point.sequence,
+        resumePoint: resumePoint === undefined ? undefined : {
+          upstream: requestChecks.findUpstream(entry, resumePoint),
+          attemptId: resumePoint.attemptId,
+          fromSequence: resumePoint.sequence,
         },
       }),
       client: policy.watchFrames(entry.client),
       agents: { descriptions: entry.descriptions, claims: entry.claims },
       scheduler: entry.scheduler,
       sink: writer,
-      callerSignal: callerGone.signal,
+      callerSignal: callerAbort.signal,
       headers: getTraceHeaders(span),
       onDispatch(upstream) {
         countAttempt();
@@ -151,7 +151,8 @@
       onObserve: policy.recordOutcome,
       onDrop: () => countDrop(),
     });
-    // A planned stop waits until the last byte has left, not only its frame.
+    // A planned stop waits until the last byte has been sent to the caller, not
+    // only until the last frame has arrived.
     void Promise.all([done, closed]).then(() => {
       entry.state.openRequests -= 1;
       policy.end();
--- a/packages/anvilhinge/src/entry/callers/routed_answer.ts
+++ b/packages/anvilhinge/src/entry/callers/routed_answer.ts
@@ -1,23 +1,23 @@
-/** Writes the answer of a session before routed services to an HTTP response. */
+/** Writes the answer of a session of routed services to an HTTP response. */
 import type * as http from "node:http";
 import type * as clock from "@anvilhinge/coordination/clock";
 import type * as engine from "../../ports/engine.ts";
 import type * as runner from "../session/runner.ts";
 import type * as session from "../session/session.ts";
 
-/** A refusal or failure of the entry's own. */
+/** Answer with which the entry itself refuses or fails a request. */
 export interface ErrorAnswer {
   readonly status: number;
-  /** What was wrong, where, and what to do. */
+  /** Describes the problem, where it is, and how to solve it. */
   readonly message: string;
-  /** When to come back, in milliseconds; undefined without advice. */
+  /** Suggested delay before a retry, in milliseconds; undefined = none. */
   readonly retryAfterMs?: number;
 }
 
 const millisecondsPerSecond = 1_000;
 const retryAfterDigits = 3;
 
-/** Converts the final answer of a session into an answer of the entry. */
+/** Converts the final answer of a session into an error answer. */
 export function convertFinalAnswer(final: session.FinalAnswer): ErrorAnswer {
   switch (final.kind) {
     case "not_run":
@@ -33,11 +33,13 @@
       return { status: 504, message: final.message };
     case "other_body":
     case "already_run":
-      throw new Error(`No claims here, yet the answer is ${final.kind}`);
+      throw new Error(
+        `Answer "${final.kind}" requires a claim, but routed requests have none`,
+      );
   }
 }
 
-/** Writes an answer of the entry's own. */
+/** Writes an error answer as plain text. */
 export function writeErrorAnswer(
   response: http.ServerResponse,
   { status, message, retryAfterMs }: ErrorAnswer,
@@ -56,36 +58,36 @@
 }
 
 export interface RoutedAnswerWriter extends runner.AnswerSink {
-  /** Status that was written; 200 before. */
+  /** Returns the status of the answer; 200 until it is set. */
   getStatus(): number;
-  /** Why the entry gave an answer of its own; undefined when it did not. */
+  /** Returns the message of the error answer; undefined if there was none. */
   getReason(): string | undefined;
   getTimes(): AnswerTimes;
 }
 
-/** When the parts of an answer went out. */
+/** Times at which the parts of an answer were sent. */
 export interface AnswerTimes {
-  /** Instant of the first part; undefined when none went out. */
+  /** Time of the first part; undefined if no part was sent. */
   readonly firstAtMs: number | undefined;
   /** Longest pause between two parts, in milliseconds. */
   readonly longestPauseMs: number;
 }
 
 export interface RoutedAnswerWriterOptions {
-  /** True for answers that are sent in one piece. */
+  /** True if the answer is buffered and sent in one piece. */
   readonly isWhole: boolean;
   readonly clock: clock.Clock;
-  /** Called with each pause between two parts, in milliseconds. */
+  /** Called with each pause between two consecutive parts, in milliseconds. */
   readonly onPause: (pauseMs: number) => void;
 }
 
-/** Creates the sink of one answer; `whole` answers get their length. */
+/** Creates the writer of one answer; whole answers get a `Content-Length`. */
 export function createRoutedAnswerWriter(
   response: http.ServerResponse,
   { isWhole, clock, onPause }: RoutedAnswerWriterOptions,
 ): RoutedAnswerWriter {
   let head: engine.AnswerHead | undefined;
-  let held: Uint8Array[] = [];
+  let bufferedParts: Uint8Array[] = [];
   let isOpen = false;
   let firstAtMs: number | undefined;
   let lastAtMs = 0;
@@ -104,18 +106,19 @@
     lastAtMs = nowMs;
   }
 
-  function open(extra: readonly string[] = []): void {
+  function open(extraHeaders: readonly string[] = []): void {
     if (isOpen || head === undefined) return;
     isOpen = true;
     if (head.isCloseDelimited) {
-      // A length of ours would say that the body is whole.
+      // Only the end of the connection ends this body. A length or chunked
+      // framing added here would mark a truncated body as complete.
       response.useChunkedEncodingByDefault = false;
       response.shouldKeepAlive = false;
     }
-    response.writeHead(head.status, [...head.headers.flat(), ...extra]);
+    response.writeHead(head.status, [...head.headers.flat(), ...extraHeaders]);
   }
 
-  function hasLength(): boolean {
+  function hasContentLength(): boolean {
     return head?.headers.some(([name]) =>
       name.toLowerCase() === "content-length"
     ) ?? false;
@@ -131,7 +134,7 @@
     },
     data(data) {
       if (isWhole && !isOpen) {
-        held.push(data);
+        bufferedParts.push(data);
         return;
       }
       open();
@@ -139,23 +142,23 @@
       response.write(data);
     },
     end() {
-      const body = Buffer.concat(held);
-      held = [];
+      const body = Buffer.concat(bufferedParts);
+      bufferedParts = [];
       const isBodyless = head?.status === 204 || head?.status === 304;
-      const extra =
-        isOpen || hasLength() || isBodyless || head?.isCloseDelimited
+      const extraHeaders =
+        isOpen || hasContentLength() || isBodyless || head?.isCloseDelimited
           ? []
           : ["Content-Length", String(body.byteLength)];
-      open(extra);
+      open(extraHeaders);
       response.end(body.byteLength === 0 ? undefined : body);
     },
     answer(final) {
-      // The status line has left: a broken connection is the one way to say
-      // that the answer is not whole.
-      const own = convertFinalAnswer(final);
-      reason = own.message;
+      // Once the status line has been sent, only a broken connection can show
+      // the caller that the answer is incomplete.
+      const error = convertFinalAnswer(final);
+      reason = error.message;
       if (isOpen) response.destroy();
-      else writeErrorAnswer(response, own);
+      else writeErrorAnswer(response, error);
     },
   };
 }
--- a/packages/anvilhinge/src/entry/callers/routed_answer_test.ts
+++ b/packages/anvilhinge/src/entry/callers/routed_answer_test.ts
@@ -15,7 +15,7 @@
   attemptId: "a1",
 };
 
-/** Lets `write` answer one request; resolves to the bytes that went out. */
+/** Answers one request with `write`; resolves to the bytes that were sent. */
 async function writeAnswer(
   write: (answer: routedAnswer.RoutedAnswerWriter) => void,
   { isWhole = true } = {},
@@ -45,7 +45,7 @@
   return text;
 }
 
-test("a whole answer without a length gets one", async () => {
+test("adds a Content-Length to a whole answer that has none", async () => {
   const text = await writeAnswer((answer) => {
     answer.head({ status: 200, headers: [["X-A", "1"]] }, source);
     answer.data(Buffer.from("body"), 1);
@@ -55,7 +55,7 @@
   expect(text.endsWith("\r\n\r\nbody")).toBe(true);
 });
 
-test("an answer of unknown length is not called whole", async () => {
+test("adds no length or framing to a connection-delimited answer", async () => {
   const text = await writeAnswer((answer) => {
     answer.head({ status: 200, headers: [], isCloseDelimited: true }, source);
     answer.data(Buffer.from("part"), 1);
@@ -66,7 +66,7 @@
   expect(text.endsWith("\r\n\r\npart")).toBe(true);
 });
 
-test("a stream that fails midway does not look complete", async () => {
+test("a stream that fails after its start does not look complete", async () => {
   const text = await writeAnswer((answer) => {
     answer.head({ status: 200, headers: [] }, source);
     answer.data(Buffer.from("id: 1\n\n"), 1);
@@ -86,7 +86,7 @@
     [{ kind: "unknown", message: "m", retryAfterMs: 0 }, 502, undefined],
     [{ kind: "deadline_exceeded", message: "m", ran: "yes" }, 504, undefined],
   ] as const,
-)("the last word %j is status %i", async (final, status, retryAfter) => {
+)("the final answer %j has status %i", async (final, status, retryAfter) => {
   const text = await writeAnswer((answer) => answer.answer(final));
   expect(text.startsWith(`HTTP/1.1 ${status} `)).toBe(true);
   expect(/Retry-After: (.*)\r\n/.exec(text)?.[1]).toBe(retryAfter);
--- a/packages/anvilhinge/src/entry/callers/routed_http.ts
+++ b/packages/anvilhinge/src/entry/callers/routed_http.ts
@@ -1,6 +1,6 @@
 /**
- * Callers' HTTP of routed services: finds route and workspace, reads the body,
- * and runs one session for each request.
+ * HTTP handler of routed services: finds the route and the workspace of a
+ * request, reads its body and runs its session.
  */
 import * as http from "node:http";
 import type * as random from "@anvilhinge/coordination/random";
@@ -16,13 +16,13 @@
 import * as session from "../session/session.ts";
 import * as routedAnswer from "./routed_answer.ts";
 
-/** Whether the entry takes requests. */
+/** Whether the entry accepts requests, and how many are in progress. */
 export interface RoutedState {
-  /** True once a planned stop began: no longer handed out. */
+  /** True once a planned stop began; address answers omit the entry. */
   isLeaving: boolean;
-  /** True once new requests are refused. */
+  /** True once the entry refuses new requests. */
   isClosed: boolean;
-  /** Requests in progress. */
+  /** Number of requests in progress. */
   openRequests: number;
 }
 
@@ -40,14 +40,15 @@
   >;
   readonly state: RoutedState;
   /**
-   * Age of the view above which keys are not trusted, in milliseconds: a key
-   * that was taken away must stop within a bound on every instance.
+   * Age of the routing view above which requests with keys are refused, in
+   * milliseconds: every instance must stop accepting a revoked key within a
+   * bound.
    */
   readonly maxKeyAgeMs: number;
 }
 
-/** A request that may be run. */
-interface Accepted {
+/** A request that passed the checks. */
+interface AcceptedRequest {
   readonly headers: callerDialect.CallerHeaders;
   readonly route: routing.Route;
   readonly service: string;
@@ -55,28 +56,30 @@
   readonly arrivedAtMs: number;
 }
 
-type Checked =
-  | ({ readonly kind: "accepted" } & Accepted)
+type RequestCheck =
+  | ({ readonly kind: "accepted" } & AcceptedRequest)
   | ({ readonly kind: "refused" } & routedAnswer.ErrorAnswer);
 
 const notReadyRetryMs = 500;
-/** Time that an answer needs on its way to the caller. */
+/** Network latency allowed for the answer on its path to the caller. */
 const answerSlackMs = 20;
-const defaultLeftMs = 10_000;
-const urlBase = "?";
-const firstFailureStatus = 400;
-/** Longest silence of a stream, from the callers' own patience of 2 s. */
+/** Used if the caller does not send how long it will wait. */
+const defaultTimeLeftMs = 10_000;
+const querySeparator = "?";
+const firstErrorStatus = 400;
+/** Time without data after which a stream is stalled; callers give up at 2 s. */
 const streamStallMs = 1_800;
 const minSafeStallMs = 300;
-const safeStallTargets = 3;
+/** Multiple of the latency target after which a safe request is stalled. */
+const safeStallLatencyTargets = 3;
 
-/** Creates the handler of requests. */
+/** Creates the request handler. */
 export function createRoutedHandler(
   options: RoutedHttpOptions,
 ): http.RequestListener {
   const { view, state, scheduler, dialect } = options;
 
-  function checkRequest(request: http.IncomingMessage): Checked {
+  function checkRequest(request: http.IncomingMessage): RequestCheck {
     const arrivedAtMs = scheduler.now();
     const table = view.getTable();
     if (state.isClosed || table === undefined) {
@@ -91,12 +94,12 @@
       };
     }
     const url = request.url ?? "/";
-    const [path = "/"] = url.split(urlBase);
+    const [path = "/"] = url.split(querySeparator);
     const route = table.findRoute(request.headers.host ?? "", path);
-    if (route === undefined) return refuseUnknownRoute();
+    if (route === undefined) return buildUnknownRouteRefusal();
     const headers = dialect.decodeHeaders(request.rawHeaders);
     const service = routeTable.pickService(route, options.random);
-    if (service === undefined) return refuseUnknownRoute();
+    if (service === undefined) return buildUnknownRouteRefusal();
     const accepted = { headers, route, service, arrivedAtMs };
     if (route.isPublic || table.settings.workspaces.length === 0) {
       return { kind: "accepted", ...accepted, workspace: undefined };
@@ -121,7 +124,7 @@
     return { kind: "accepted", ...accepted, workspace };
   }
 
-  function refuseUnknownRoute(): Checked {
+  function buildUnknownRouteRefusal(): RequestCheck {
     return {
       kind: "refused",
       status: 404,
@@ -141,13 +144,13 @@
       viewAgeMs: Math.round(view.getAgeMs()),
     });
     options.metrics.recordRefusal(String(answer.status));
-    // The rest of a body would be taken for the next request.
+    // Drains the body: unread bytes would be parsed as the next request.
     request.resume();
     routedAnswer.writeErrorAnswer(response, answer);
   }
 
-  function run(
-    accepted: Accepted,
+  function runRequest(
+    accepted: AcceptedRequest,
     body: Buffer,
     { request, response }: {
       readonly request: http.IncomingMessage;
@@ -155,11 +158,11 @@
     },
   ): void {
     const { headers, route, service, workspace, arrivedAtMs } = accepted;
-    const callerLeftMs = headers.leftMs ?? defaultLeftMs;
-    const leftMs = Math.min(callerLeftMs, route.timeoutMs) - answerSlackMs;
+    const callerTimeLeftMs = headers.leftMs ?? defaultTimeLeftMs;
+    const leftMs = Math.min(callerTimeLeftMs, route.timeoutMs) - answerSlackMs;
     const requestId = headers.requestId ?? "";
     const isStream = route.kind === "stream";
-    const needed: session.Request = {
+    const sessionRequest: session.Request = {
       requestId,
       workspace: workspace?.name ?? "",
       work: {
@@ -178,87 +181,87 @@
       delivery: isStream ? "events" : "whole",
       resumeAfter: headers.resumeAfter,
     };
-    const callerGone = new AbortController();
+    const callerAbort = new AbortController();
     response.once("close", () => {
-      if (!response.writableFinished) callerGone.abort();
+      if (!response.writableFinished) callerAbort.abort();
     });
-    let feed: routedPolicy.DecisionHandler = () => {};
-    const places = options.policy.startRequest({
+    let handleDecision: routedPolicy.DecisionHandler = () => {};
+    const policy = options.policy.startRequest({
       requestId,
       service,
       route,
-      workspace: needed.workspace,
-      priority: needed.priority,
+      workspace: sessionRequest.workspace,
+      priority: sessionRequest.priority,
       size: headers.size,
-      deadlineAtMs: needed.deadlineAtMs,
-    }, (event) => feed(event));
+      deadlineAtMs: sessionRequest.deadlineAtMs,
+    }, (event) => handleDecision(event));
     const sink = routedAnswer.createRoutedAnswerWriter(response, {
       isWhole: !isStream,
       clock: scheduler,
-      onPause: places.recordPause,
+      onPause: policy.recordPause,
     });
     let attempts = 0;
     const settingsVersion = view.getTable()?.settings.version;
     state.openRequests += 1;
     const done = runner.runSession({
-      request: needed,
-      session: session.createSession(needed, {
+      request: sessionRequest,
+      session: session.createSession(sessionRequest, {
         gate: "none",
         clock: scheduler,
         readWallMs: Date.now,
         createAttemptId: () => `${requestId}/${++attempts}`,
-        chooseUpstream: places.chooseUpstream,
-        takeRetry: places.takeRetry,
+        chooseUpstream: policy.chooseUpstream,
+        takeRetry: policy.takeRetry,
         maxAttempts: route.maxUpstreams,
         stallMs: isStream ? streamStallMs : computeStallMs(route, leftMs),
       }),
       client: options.client,
       scheduler,
       sink,
-      callerSignal: callerGone.signal,
-      onFeedReady(feedSession) {
-        feed = feedSession;
+      callerSignal: callerAbort.signal,
+      onFeedReady(feed) {
+        handleDecision = feed;
       },
-      onDispatch: places.recordDispatch,
-      onObserve: places.recordOutcome,
+      onDispatch: policy.recordDispatch,
+      onObserve: policy.recordOutcome,
     });
     void done.then(() => {
       state.openRequests -= 1;
-      places.end();
+      policy.end();
       const { firstAtMs, longestPauseMs } = sink.getTimes();
-      const decided = places.describe();
+      const dispatchRecord = policy.describe();
       const tookMs = scheduler.now() - arrivedAtMs;
       const firstMs = firstAtMs === undefined
         ? undefined
         : firstAtMs - arrivedAtMs;
       options.metrics.recordRequest({
         kind: route.kind,
-        priority: needed.priority,
-        outcome: callerGone.signal.aborted
+        priority: sessionRequest.priority,
+        outcome: callerAbort.signal.aborted
           ? "gone"
           : describeOutcome(sink.getStatus()),
         tookMs,
         firstMs,
-        waitedMs: decided.waitedMs,
+        waitedMs: dispatchRecord.waitedMs,
       });
-      const isOrdinary = !callerGone.signal.aborted &&
-        sink.getStatus() < firstFailureStatus;
-      const log = isOrdinary
+      const isSuccess = !callerAbort.signal.aborted &&
+        sink.getStatus() < firstErrorStatus;
+      const log = isSuccess
         ? options.logger.infoRateLimited
         : options.logger.info;
       log("Request done", {
         requestId,
         route: route.name,
-        workspace: needed.workspace,
-        status: callerGone.signal.aborted ? "gone" : sink.getStatus(),
+        workspace: sessionRequest.workspace,
+        status: callerAbort.signal.aborted ? "gone" : sink.getStatus(),
         reason: sink.getReason(),
-        priority: needed.priority,
+        priority: sessionRequest.priority,
         leftMs: Math.round(leftMs),
         settingsVersion,
         tookMs: Math.round(tookMs),
         firstMs: firstMs && Math.round(firstMs),
         longestPauseMs: Math.round(longestPauseMs),
-        ...decided,
+        ...dispatchRecord,
       });
     });
   }
@@ -270,7 +273,7 @@
     const limitBytes = view.getTable()?.settings.limits.bodyBytes ?? 0;
     readBody(request, {
       limitBytes,
-      onBody: (body) => run(checked, body, { request, response }),
+      onBody: (body) => runRequest(checked, body, { request, response }),
       onTooLarge() {
         response.setHeader("Connection", "close");
         refuse(request, response, {
@@ -285,20 +288,23 @@
 function describeOutcome(
   status: number,
 ): routedMetrics.RequestEnd["outcome"] {
-  if (status < firstFailureStatus) return "answered";
+  if (status < firstErrorStatus) return "answered";
   return status === 503 ? "refused" : "failed";
 }
 
-/** Longest silence of a plain upstream before a safe request goes elsewhere. */
+/**
+ * Computes the time without data after which an attempt that is not a stream is
+ * stalled; a safe request is then retried at another upstream.
+ */
 function computeStallMs(route: routing.Route, leftMs: number): number {
-  const patienceMs = Math.max(
+  const stallMs = Math.max(
     minSafeStallMs,
-    safeStallTargets * route.latencyTargetMs,
+    safeStallLatencyTargets * route.latencyTargetMs,
   );
-  return Math.min(patienceMs, leftMs / 2);
+  return Math.min(stallMs, leftMs / 2);
 }
 
-/** Reads a whole body; nothing is called for a caller that breaks off. */
+/** Reads the whole body; calls nothing if the caller disconnects before. */
 function readBody(
   request: http.IncomingMessage,
   options: {
--- a/packages/anvilhinge/src/entry/context.ts
+++ b/packages/anvilhinge/src/entry/context.ts
@@ -1,4 +1,4 @@
-/** What the parts of one entry share; composed once in `mod.ts`. */
+/** Dependencies shared by the modules of one entry; composed in `mod.ts`. */
 import type * as random from "@anvilhinge/coordination/random";
 import type * as objectStore from "../ports/object_store.ts";
 import type * as scheduler from "../ports/scheduler.ts";
@@ -14,15 +14,18 @@
 import type * as upstreams from "./choice/upstreams.ts";
 import type * as dispatchPolicy from "./choice/dispatch_policy.ts";
 
-/** Whether the entry takes work; changed only by its life cycle. */
+/**
+ * Whether the entry accepts requests. Changed by the start and stop of the entry
+ * and by an operator's drain; `openRequests` by the request runner.
+ */
 export interface EntryState {
-  /** False until the view of settings and assignments is confirmed. */
+  /** False until the replica of settings and assignments is confirmed. */
   isReady: boolean;
-  /** True once a planned stop began: no longer handed out. */
+  /** True once a planned stop or a drain began; address answers omit the entry. */
   isLeaving: boolean;
-  /** True once new requests are refused. */
+  /** True once the entry refuses new requests. */
   isClosed: boolean;
-  /** Requests in progress. */
+  /** Number of requests in progress. */
   openRequests: number;
 }
 
@@ -31,7 +34,7 @@
   readonly store: objectStore.ObjectStore;
   readonly scheduler: scheduler.Scheduler;
   readonly random: random.RandomSource;
-  /** Returns an id that no other call on any instance returns. */
+  /** Returns an id that is unique across all instances. */
   readonly createId: () => string;
   readonly catalog: catalog.Catalog;
   readonly upstreams: upstreams.UpstreamTable;
@@ -45,6 +48,6 @@
   readonly metrics: metrics.Metrics;
   readonly tracing: tracing.Tracing;
   readonly state: EntryState;
-  /** Entries of the own half as far as they are known. */
+  /** Returns the known entries of the half that this entry belongs to. */
   readonly listMembers: () => readonly addresses.EntryMember[];
 }
--- a/packages/anvilhinge/src/entry/mod.ts
+++ b/packages/anvilhinge/src/entry/mod.ts
@@ -1,4 +1,4 @@
-/** The entry role: composes its parts and runs its life cycle. */
+/** The entry role: composes its components and runs their life cycle. */
 import * as nodeCrypto from "node:crypto";
 import { performance } from "node:perf_hooks";
 import * as gossip from "@anvilhinge/coordination/gossip";
@@ -37,55 +37,55 @@
 import * as replicaApplier from "./control/replica_applier.ts";
 import * as dispatchPolicy from "./choice/dispatch_policy.ts";
 
-/** Adapters that replace the ones built from the settings. */
+/** Adapters that replace those built from the settings. */
 export interface EntryAdapters {
   readonly store?: objectStore.ObjectStore;
   readonly instances?: instanceList.InstanceList;
   readonly logStream?: NodeJS.WritableStream;
-  /** Further takers of spans; tests pass a recorder's. */
+  /** Additional span processors, for example the recorder of a test. */
   readonly spanProcessors?: tracing.TracingOptions["spanProcessors"];
 }
 
-/** An entry that is running. */
+/** A running entry. */
 export interface RunningEntry {
-  /** Callers' and operators' address as `host:port`. */
+  /** Address for callers and operators as `host:port`. */
   readonly address: string;
   readonly controlAddress: string;
-  /** Finishes the requests in progress, then closes. */
+  /** Stops gracefully: finishes the requests in progress, then closes. */
   stop(): Promise<void>;
-  /** Closes at once. */
+  /** Closes immediately, without finishing the requests in progress. */
   kill(): void;
-  /** Requests in progress. */
+  /** Returns the number of requests in progress. */
   countOpenRequests(): number;
 }
 
-/** Members as the gossip node sees them; empty until it is started. */
-interface MembersView {
-  list: context.EntryContext["listMembers"];
+/** Access to the gossip node; a placeholder until the node is started. */
+interface GossipAccess {
+  listMembers: context.EntryContext["listMembers"];
   publishLeaving: () => void;
 }
 
-interface Parts extends context.EntryContext {
+interface Components extends context.EntryContext {
   readonly abort: AbortController;
   readonly instances: instanceList.InstanceList;
   readonly control: controlService.ControlService;
   readonly duties: controlDuties.ControlDuties;
   readonly peers: gossipClient.GossipClient;
-  readonly membersView: MembersView;
+  readonly gossipAccess: GossipAccess;
 }
 
-const weightIntervalMs = 5_000;
-const drainPollMs = 50;
-/** Longest wait at a stop for outcomes to be recorded. */
-const recordWaitMs = 5_000;
+const weightUpdateIntervalMs = 5_000;
+const drainPollIntervalMs = 50;
+/** Longest wait during a stop for the outcomes of calls to be recorded. */
+const maxOutcomeWaitMs = 5_000;
 const platformTimeoutMs = 2_000;
 
-/** Registers the parts of an entry. */
-function composeParts(
+/** Builds the dependency container of an entry. */
+function composeComponents(
   settings: process.EntrySettings,
   adapters: EntryAdapters,
-): Parts {
-  const container = awilix.createContainer<Parts>({
+): Components {
+  const container = awilix.createContainer<Components>({
     injectionMode: awilix.InjectionMode.PROXY,
     strict: true,
   });
@@ -111,48 +111,50 @@
       })
     ).singleton(),
     catalog: awilix.asFunction(catalog.createCatalog).singleton(),
-    policy: awilix.asFunction((parts: Parts) =>
+    policy: awilix.asFunction((components: Components) =>
       dispatchPolicy.createDispatchPolicy({
-        scheduler: parts.scheduler,
-        random: parts.random,
-        logger: parts.logger,
-        metrics: parts.metrics,
+        scheduler: components.scheduler,
+        random: components.random,
+        logger: components.logger,
+        metrics: components.metrics,
         findLimits: (workspace) =>
-          parts.catalog.findWorkspace(settings.half, workspace)?.settings
+          components.catalog.findWorkspace(settings.half, workspace)?.settings
             .limits,
-        listMembers: parts.listMembers,
+        listMembers: components.listMembers,
         nodeId: settings.id,
         location: settings,
-        signal: parts.abort.signal,
+        signal: components.abort.signal,
       })
     ).singleton(),
-    upstreams: awilix.asFunction(({ policy }: Parts) => policy.upstreams)
+    upstreams: awilix.asFunction(({ policy }: Components) => policy.upstreams)
       .singleton(),
-    client: awilix.asFunction(({ abort }: Parts) =>
+    client: awilix.asFunction(({ abort }: Components) =>
       agentClient.createAgentClient({ signal: abort.signal })
     ).singleton(),
-    descriptions: awilix.asFunction(({ scheduler, client }: Parts) =>
+    descriptions: awilix.asFunction(({ scheduler, client }: Components) =>
       descriptionCache.createDescriptionCache({ clock: scheduler, client })
     ).singleton(),
     readWallMs: awilix.asValue(Date.now),
-    claims: awilix.asFunction((parts: Parts) =>
+    claims: awilix.asFunction((components: Components) =>
       claimStore.createClaimStore({
-        store: parts.store,
-        scheduler: parts.scheduler,
-        random: parts.random,
-        readWallMs: parts.readWallMs,
+        store: components.store,
+        scheduler: components.scheduler,
+        random: components.random,
+        readWallMs: components.readWallMs,
         half: settings.half,
-        signal: parts.abort.signal,
+        signal: components.abort.signal,
       })
     ).singleton(),
-    control: awilix.asFunction(({ upstreams, duties }: Parts) =>
+    control: awilix.asFunction(({ upstreams, duties }: Components) =>
       controlService.createControlService({
         findAssignment: upstreams.findAssignment,
         duties,
       })
     ).singleton(),
-    duties: awilix.asFunction((parts: Parts) =>
-      controlDuties.createControlDuties(parts, { signal: parts.abort.signal })
+    duties: awilix.asFunction((components: Components) =>
+      controlDuties.createControlDuties(components, {
+        signal: components.abort.signal,
+      })
     ).singleton(),
     logger: awilix.asFunction(() =>
       logger.createLogger({
@@ -176,14 +178,14 @@
       isClosed: false,
       openRequests: 0,
     }),
-    membersView: awilix.asValue<MembersView>({
-      list: () => [],
+    gossipAccess: awilix.asValue<GossipAccess>({
+      listMembers: () => [],
       publishLeaving: () => {},
     }),
-    listMembers: awilix.asFunction(({ membersView }: Parts) => () =>
-      membersView.list()
+    listMembers: awilix.asFunction(({ gossipAccess }: Components) => () =>
+      gossipAccess.listMembers()
     ).singleton(),
-    peers: awilix.asFunction(({ abort }: Parts) =>
+    peers: awilix.asFunction(({ abort }: Components) =>
       gossipClient.createGossipClient({
         half: settings.half,
         timeoutMs: gossip.replyTimeoutMs,
@@ -194,19 +196,22 @@
   return container.cradle;
 }
 
-function createApp(parts: Parts): Koa {
+function createApp(components: Components): Koa {
   const app = new Koa();
   app.on(
     "error",
     (error: Error) =>
-      parts.logger.warnOnce(error.message, `Request failed: ${error.message}`),
+      components.logger.warnOnce(
+        error.message,
+        `Request failed: ${error.message}`,
+      ),
   );
-  app.use(callersHttp.createCallersRouter(parts).routes());
-  app.use(operatorsHttp.createOperatorsRouter(parts).routes());
-  app.use(movesHttp.createMovesRouter(parts).routes());
+  app.use(callersHttp.createCallersRouter(components).routes());
+  app.use(operatorsHttp.createOperatorsRouter(components).routes());
+  app.use(movesHttp.createMovesRouter(components).routes());
   const drains = drainsHttp.createDrainsRouter({
-    entry: parts,
-    publishLeaving: () => parts.membersView.publishLeaving(),
+    entry: components,
+    publishLeaving: () => components.gossipAccess.publishLeaving(),
   });
   app.use(drains.routes());
   app.use((koa) => {
@@ -221,76 +226,82 @@
   return app;
 }
 
-/** Starts the exchange with the other entries. */
-function startNode(
-  parts: Parts,
+/** Starts gossip with the other entries. */
+function startGossip(
+  components: Components,
   options: {
     readonly address: string;
     readonly controlAddress: string;
     readonly onReady: () => void;
   },
 ): gossipNode.GossipNode {
-  const { settings } = parts;
-  const entryView = replicaApplier.createReplicaApplier({
-    entry: parts,
-    onAssignment: parts.control.publish,
+  const { settings } = components;
+  const applier = replicaApplier.createReplicaApplier({
+    entry: components,
+    onAssignment: components.control.publish,
   });
   return gossipNode.startGossipNode({
-    ...parts,
+    ...components,
     self: {
       id: settings.id,
       address: options.address,
       controlAddress: options.controlAddress,
       failureDomain: settings.failureDomain,
-      // Raised when the view is confirmed.
+      // 0 = not ready; raised once the replica of settings is confirmed.
       weight: 0,
     },
     half: settings.half,
     incarnation: Date.now(),
-    client: parts.peers,
-    signal: parts.abort.signal,
-    onApply: entryView.apply,
+    client: components.peers,
+    signal: components.abort.signal,
+    onApply: applier.apply,
     onReady: options.onReady,
   });
 }
 
-/** Tells the others which share of workspaces this entry should get. */
-function reportWeight(
+/**
+ * Publishes the share of workspaces that this entry should get, computed from
+ * the utilization of its event loop.
+ */
+function publishWeight(
   node: gossipNode.GossipNode,
-  { scheduler, abort }: Parts,
+  { scheduler, abort }: Components,
 ): void {
   let weight = loadWeight.fullWeight;
-  let last = performance.eventLoopUtilization();
+  let previous = performance.eventLoopUtilization();
   node.setWeight(weight);
 
   function update(): void {
-    const present = performance.eventLoopUtilization();
-    const { utilization } = performance.eventLoopUtilization(present, last);
-    last = present;
-    const next = loadWeight.computeWeight(weight, utilization);
-    if (next !== weight) node.setWeight(next);
-    weight = next;
+    const current = performance.eventLoopUtilization();
+    const { utilization } = performance.eventLoopUtilization(current, previous);
+    previous = current;
+    const nextWeight = loadWeight.computeWeight(weight, utilization);
+    if (nextWeight !== weight) node.setWeight(nextWeight);
+    weight = nextWeight;
     scheduleUpdate();
   }
 
   function scheduleUpdate(): void {
     const { signal } = abort;
-    scheduler.schedule(update, { delayMs: weightIntervalMs, signal });
+    scheduler.schedule(update, { delayMs: weightUpdateIntervalMs, signal });
   }
 
   scheduleUpdate();
 }
 
-/** Starts an entry; resolves when it listens and has confirmed its view. */
+/**
+ * Starts an entry; resolves when it listens and has confirmed its replica of
+ * settings and assignments.
+ */
 export async function startEntry(
   settings: process.EntrySettings,
   adapters: EntryAdapters = {},
 ): Promise<RunningEntry> {
-  const parts = composeParts(settings, adapters);
-  const { abort, state, logger, scheduler } = parts;
+  const components = composeComponents(settings, adapters);
+  const { abort, state, logger, scheduler } = components;
   const { signal } = abort;
   const address = await httpServer.startHttpServer({
-    app: createApp(parts),
+    app: createApp(components),
     ...settings.address,
     signal,
   });
@@ -301,7 +312,7 @@
   });
   const controlAddress = await connectServer.startConnectServer({
     routes(router) {
-      parts.control.routes(router);
+      components.control.routes(router);
       gossipRoutes(router);
     },
     ...settings.controlAddress,
@@ -309,18 +320,22 @@
     onFailure: (call, message) =>
       logger.warnOnce(call, `Call ${call} failed: ${message}`),
   }).catch((error) => {
-    // What listens already would keep the process alive.
+    // A server that already listens would keep the process alive.
     abort.abort();
     throw error;
   });
   await new Promise<void>((resolve) => {
-    node = startNode(parts, { address, controlAddress, onReady: resolve });
-    parts.membersView.list = node.listMembers;
-    parts.membersView.publishLeaving = node.publishLeaving;
+    node = startGossip(components, {
+      address,
+      controlAddress,
+      onReady: resolve,
+    });
+    components.gossipAccess.listMembers = node.listMembers;
+    components.gossipAccess.publishLeaving = node.publishLeaving;
   });
   state.isReady = true;
-  if (node !== undefined) reportWeight(node, parts);
-  parts.duties.start(controlAddress);
+  if (node !== undefined) publishWeight(node, components);
+  components.duties.start(controlAddress);
   logger.info(`Serves callers on ${address} and agents on ${controlAddress}`);
 
   return {
@@ -329,19 +344,24 @@
     async stop() {
       state.isLeaving = true;
       node?.publishLeaving();
-      logger.info("Stops being handed out");
-      await parts.duties.stop();
+      logger.info("Stopping: address answers now omit this entry");
+      await components.duties.stop();
       await delay.waitFor(scheduler, { delayMs: settings.addressAnswerTtlMs });
       state.isClosed = true;
-      logger.info(`Finishes ${state.openRequests} requests`);
+      logger.info(
+        `Refusing new requests; finishing ${state.openRequests} open requests`,
+      );
       while (state.openRequests > 0) {
-        await delay.waitFor(scheduler, { delayMs: drainPollMs });
+        await delay.waitFor(scheduler, { delayMs: drainPollIntervalMs });
       }
-      const recordByMs = scheduler.now() + recordWaitMs;
-      while (parts.claims.countPending() > 0 && scheduler.now() < recordByMs) {
-        await delay.waitFor(scheduler, { delayMs: drainPollMs });
+      const outcomeDeadlineMs = scheduler.now() + maxOutcomeWaitMs;
+      while (
+        components.claims.countPending() > 0 &&
+        scheduler.now() < outcomeDeadlineMs
+      ) {
+        await delay.waitFor(scheduler, { delayMs: drainPollIntervalMs });
       }
-      await parts.tracing.stop();
+      await components.tracing.stop();
       abort.abort();
       logger.info("Stopped");
     },
@@ -350,7 +370,7 @@
   };
 }
 
-/** Runs an entry until the signal aborts, then stops it gracefully. */
+/** Runs an entry until the signal aborts, then stops the entry gracefully. */
 export async function runEntry(
   settings: process.EntrySettings,
   options: shutdown.RunRoleOptions,
--- a/packages/anvilhinge/src/entry/operators/drains_http.ts
+++ b/packages/anvilhinge/src/entry/operators/drains_http.ts
@@ -1,4 +1,4 @@
-/** Operators' HTTP to take an entry out of the address answers before a stop. */
+/** HTTP API with which operators drain an entry before it is stopped. */
 import Router from "@koa/router";
 import coBody from "co-body";
 import type Koa from "koa";
@@ -9,30 +9,30 @@
 import * as operatorAccess from "./operator_access.ts";
 import * as operatorAnswer from "./operator_answer.ts";
 
-const orderSchema = zod.strictObject({ instance: names.name });
-const bodyLimitBytes = 4_096;
+const drainSchema = zod.strictObject({ instance: names.name });
+const maxBodyBytes = 4_096;
 
 export interface DrainsOptions {
   readonly entry: Pick<
     context.EntryContext,
     "settings" | "state" | "logger" | "listMembers"
   >;
-  /** Tells the other entries that this one leaves. */
+  /** Publishes to the other entries that this entry is leaving. */
   readonly publishLeaving: () => void;
 }
 
-/** Creates the route `POST /drains`; it acts on the entry that is asked. */
+/** Creates the route `POST /drains`, which drains the entry that it reaches. */
 export function createDrainsRouter(options: DrainsOptions): Router {
   const router = new Router();
   const { settings, state, logger, listMembers } = options.entry;
 
-  function hasToken(koa: Koa.Context): boolean {
+  function hasOperatorToken(koa: Koa.Context): boolean {
     const authorization = koa.get("Authorization");
     const { operators } = settings;
     return operatorAccess.matchOperators(operators, authorization).length > 0;
   }
 
-  function describeOther(instance: string): string {
+  function describeOtherInstance(instance: string): string {
     const member = listMembers().find(({ id }) => id === instance);
     return member === undefined
       ? `"${instance}" is not a live entry of ${settings.half}; an agent drains at SIGTERM`
@@ -40,29 +40,31 @@
   }
 
   async function handlePost(koa: Koa.Context): Promise<void> {
-    if (!hasToken(koa)) {
+    if (!hasOperatorToken(koa)) {
       return operatorAnswer.writeError(koa, 403, {
         code: "forbidden",
         message: "The token is not one of an operator of this entry",
       });
     }
-    const text = await coBody.text(koa.req, { limit: bodyLimitBytes });
-    const order = jsonLines.parseJson(text, orderSchema)?.value;
-    if (order === undefined) {
+    const text = await coBody.text(koa.req, { limit: maxBodyBytes });
+    const drain = jsonLines.parseJson(text, drainSchema)?.value;
+    if (drain === undefined) {
       return operatorAnswer.writeError(koa, 400, {
         code: "invalid_request",
         message: `Expected a body such as {"instance":"${settings.id}"}`,
       });
     }
-    if (order.instance !== settings.id) {
+    if (drain.instance !== settings.id) {
       return operatorAnswer.writeError(koa, 404, {
         code: "not_this_instance",
-        message: describeOther(order.instance),
+        message: describeOtherInstance(drain.instance),
       });
     }
     state.isLeaving = true;
     options.publishLeaving();
-    logger.info("Stops being handed out, as an operator asked");
+    logger.info(
+      "Drained by an operator: address answers now omit this entry",
+    );
     koa.body = {
       outcome: "accepted",
       instance: settings.id,
--- a/packages/anvilhinge/src/entry/operators/group_names.ts
+++ b/packages/anvilhinge/src/entry/operators/group_names.ts
@@ -1,12 +1,12 @@
 /**
- * One name for one group over all subtrees, because assignments are kept by
- * group name alone. The name is reserved in the object API before the group is
+ * Keeps group names unique across all subtrees, because assignments are stored
+ * by group name alone. A name is reserved in the object API before the group is
  * first written, so that two teams can't take it at the same time.
  */
 import * as zod from "zod";
 import type * as objectStore from "../../ports/object_store.ts";
 
-/** Prefix of the keys of reserved group names in the object API. */
+/** Prefix of the keys under which the object API stores reserved group names. */
 export const groupNamePrefix = "group_names/";
 
 export type ReservationOutcome =
@@ -14,13 +14,13 @@
   | { readonly kind: "taken"; readonly path: string }
   | objectStore.Unavailable;
 
-const schema = zod.object({ path: zod.string() });
+const reservationSchema = zod.object({ path: zod.string() });
 
 function convertHolder(
   object: objectStore.StoredObject | undefined,
   path: string,
 ): ReservationOutcome {
-  const parsed = schema.safeParse(object?.value);
+  const parsed = reservationSchema.safeParse(object?.value);
   if (!parsed.success) {
     return { kind: "taken", path: "an unknown settings path" };
   }
@@ -28,7 +28,7 @@
   return { kind: "taken", path: parsed.data.path };
 }
 
-/** Reserves the name for the settings path; repeating it does no harm. */
+/** Reserves the group name for a settings path; idempotent. */
 export async function reserveGroupName(
   store: objectStore.ObjectStore,
   group: { readonly name: string; readonly path: string },
@@ -44,7 +44,8 @@
     case "unavailable":
       return outcome;
     case "unknown": {
-      // Whoever is found there holds the name; a late arrival can't change it.
+      // A path that is found there holds the name for good: a delayed write
+      // that arrives later fails on its version condition.
       const read = await store.read(key);
       if (read.kind === "found") return convertHolder(read.object, group.path);
       const { message } = read.kind === "missing" ? outcome : read;
--- a/packages/anvilhinge/src/entry/operators/moves.ts
+++ b/packages/anvilhinge/src/entry/operators/moves.ts
@@ -1,6 +1,6 @@
 /**
- * Moves of groups between halves as operators ask for them: who may ask, what
- * is written, and how the outcome is told.
+ * Moves groups between halves on request of operators: checks the authorization,
+ * writes the assignment record and reports the outcome.
  */
 import type * as conditionalWrite from "@anvilhinge/coordination/conditional_write";
 import * as handover from "@anvilhinge/coordination/handover";
@@ -21,13 +21,16 @@
   >;
 }
 
-/** Asks for a group to be handed to a half; its present half cancels a move. */
+/**
+ * Request to hand a group over to a half. The half that now owns the group
+ * cancels a pending move.
+ */
 export interface MoveRequest {
   readonly group: string;
   readonly to: string;
 }
 
-/** Status and JSON body of an answer over HTTP. */
+/** Status and JSON body of an HTTP answer. */
 export interface MoveAnswer {
   readonly status: number;
   readonly body: Readonly<Record<string, unknown>>;
@@ -38,11 +41,11 @@
     order: MoveRequest,
     options: { readonly authorization: string; readonly changeId: string },
   ): Promise<MoveAnswer>;
-  /** Tells where the group is, and for a pending move what it waits for. */
+  /** Describes the owner of the group and what a pending move waits for. */
   describe(group: string): Promise<MoveAnswer>;
 }
 
-/** Builds an answer that names what went wrong. */
+/** Builds an error answer. */
 export function buildError(
   status: number,
   code: string,
@@ -64,9 +67,9 @@
   return { group, half, epoch, state, ...nextHalf && { nextHalf } };
 }
 
-/** Creates the operations of moves at one entry. */
+/** Creates the operations on moves of one entry. */
 export function createMoveOperations(entry: MovesContext): MoveOperations {
-  /** Returns the subtrees that the token may change. */
+  /** Returns the subtrees that the bearer token may change. */
   function listSubtrees(authorization: string): readonly string[] {
     const { operators } = entry.settings;
     const all = operators.flatMap((operator) => operator.subtrees);
@@ -76,17 +79,25 @@
     );
   }
 
-  /** A token moves what its subtrees define, or what no own subtree defines. */
+  /**
+   * Whether a token for these subtrees may move the group: one of them defines
+   * the group, or no subtree of the half that owns the group defines it and the
+   * token has a subtree in that half.
+   */
   function isAllowed(
     subtrees: readonly string[],
     record: handover.AssignmentRecord,
   ): boolean {
     const prefix = `/${record.half}/`;
-    const own = subtrees.filter((subtree) => subtree.startsWith(prefix));
-    const defining = entry.catalog.listGroupSubtrees(record.group)
+    const ownedHalfSubtrees = subtrees.filter((subtree) =>
+      subtree.startsWith(prefix)
+    );
+    const definingSubtrees = entry.catalog.listGroupSubtrees(record.group)
       .filter((subtree) => subtree.startsWith(prefix));
-    if (defining.length === 0) return own.length > 0;
-    return defining.some((subtree) => own.includes(subtree));
+    if (definingSubtrees.length === 0) return ownedHalfSubtrees.length > 0;
+    return definingSubtrees.some((subtree) =>
+      ownedHalfSubtrees.includes(subtree)
+    );
   }
 
   async function readStored(
@@ -100,14 +111,14 @@
       ? assignmentCodec.parseRecord(outcome.object.value)
       : undefined;
     if (outcome.kind === "missing" || record === undefined) {
-      return refuseMissing(group);
+      return buildMissingError(group);
     }
     return { record, version: outcome.object.version };
   }
 
-  function refuseMissing(group: string): MoveAnswer {
-    const conflict = entry.duties.listConflicts().find((one) =>
-      one.group === group
+  function buildMissingError(group: string): MoveAnswer {
+    const conflict = entry.duties.listConflicts().find((candidate) =>
+      candidate.group === group
     );
     if (conflict === undefined) {
       return buildError(404, "not_found", `Group "${group}" has no owner yet`);
@@ -136,11 +147,11 @@
     if ("status" in stored) return stored;
     const { record } = stored;
     if (!isAllowed(subtrees, record)) return forbidden;
-    const accepted = (present: handover.AssignmentRecord): MoveAnswer => ({
+    const buildAccepted = (current: handover.AssignmentRecord): MoveAnswer => ({
       status: 200,
-      body: { outcome: "accepted", changeId, ...describeRecord(present) },
+      body: { outcome: "accepted", changeId, ...describeRecord(current) },
     });
-    if (record.changeIds.includes(changeId)) return accepted(record);
+    if (record.changeIds.includes(changeId)) return buildAccepted(record);
     const plan = handover.planMove(record, { to: order.to, changeId });
     switch (plan.kind) {
       case "unchanged":
@@ -154,7 +165,7 @@
         const { version } = stored;
         const next = { record: plan.next, version };
         const outcome = await assignmentWriter.writeRecord(entry, next);
-        if (outcome.kind === "accepted") return accepted(plan.next);
+        if (outcome.kind === "accepted") return buildAccepted(plan.next);
         return convertOutcome(outcome, changeId);
       }
     }
@@ -170,11 +181,11 @@
     switch (outcome.kind) {
       case "conflict": {
         const current = assignmentCodec.parseRecord(outcome.current?.value);
-        const present = current === undefined
+        const currentState = current === undefined
           ? "gone"
           : `${current.state} ${current.half} at epoch ${current.epoch}`;
         const message =
-          `Somebody else changed the group first; it is now ${present}. ` +
+          `Somebody else changed the group first; it is now ${currentState}. ` +
           "Look at it with GET /moves, then ask again if you still want to";
         return {
           status: 409,
@@ -206,9 +217,9 @@
       return { status: 200, body };
     }
     const progress = await entry.duties.findProgress(group);
-    const isPresent = progress?.epoch === record.epoch;
-    // Null means that the entry in charge could not be asked.
-    const waitingFor = isPresent ? progress.waitingFor : null;
+    const isCurrent = progress?.epoch === record.epoch;
+    // Null = the entry in charge could not be reached or reported another epoch.
+    const waitingFor = isCurrent ? progress.waitingFor : null;
     const body = { outcome: "pending", ...describeRecord(record), waitingFor };
     return { status: 200, body };
   }
--- a/packages/anvilhinge/src/entry/operators/moves_http.ts
+++ b/packages/anvilhinge/src/entry/operators/moves_http.ts
@@ -1,4 +1,4 @@
-/** Operators' HTTP for moves of groups between halves. */
+/** HTTP API with which operators move groups between halves. */
 import Router from "@koa/router";
 import coBody from "co-body";
 import type Koa from "koa";
@@ -8,12 +8,12 @@
 import type * as context from "../context.ts";
 import * as moves from "./moves.ts";
 
-const orderSchema = zod.strictObject({
+const moveSchema = zod.strictObject({
   group: names.name,
   to: names.half,
 });
 
-const bodyLimitBytes = 4_096;
+const maxBodyBytes = 4_096;
 const changeIdPattern = /^[A-Za-z0-9._-]{8,128}$/;
 
 /** Creates the routes `POST /moves` and `GET /moves/<group>`. */
@@ -24,9 +24,9 @@
   const operations = moves.createMoveOperations(entry);
 
   async function handlePost(koa: Koa.Context): Promise<void> {
-    const text = await coBody.text(koa.req, { limit: bodyLimitBytes });
-    const order = jsonLines.parseJson(text, orderSchema)?.value;
-    if (order === undefined) {
+    const text = await coBody.text(koa.req, { limit: maxBodyBytes });
+    const move = jsonLines.parseJson(text, moveSchema)?.value;
+    if (move === undefined) {
       return send(
         koa,
         moves.buildError(
@@ -48,7 +48,7 @@
       );
     }
     const authorization = koa.get("Authorization");
-    send(koa, await operations.start(order, { authorization, changeId }));
+    send(koa, await operations.start(move, { authorization, changeId }));
   }
 
   async function getMove(koa: Koa.Context): Promise<void> {
--- a/packages/anvilhinge/src/entry/operators/operator_access.ts
+++ b/packages/anvilhinge/src/entry/operators/operator_access.ts
@@ -1,12 +1,12 @@
-/** Who may change which subtree: bearer tokens known by their digests. */
+/** Access control of operators: bearer tokens, compared by SHA-256 digest. */
 import * as crypto from "node:crypto";
 import type * as process from "../../settings/process.ts";
 
 export type Operator = process.EntrySettings["operators"][number];
 
 /**
- * Returns the operators that the `Authorization` header belongs to. Every
- * digest is compared in constant time.
+ * Returns the operators whose token is in the `Authorization` header. Each digest
+ * is compared in constant time.
  */
 export function matchOperators(
   operators: readonly Operator[],
@@ -19,7 +19,7 @@
   );
 }
 
-/** Returns the operator of the header, if it may change the subtree. */
+/** Finds the operator of the header that may change the subtree. */
 export function findOperator(
   operators: readonly Operator[],
   request: { readonly authorization: string; readonly subtree: string },
--- a/packages/anvilhinge/src/entry/operators/operator_answer.ts
+++ b/packages/anvilhinge/src/entry/operators/operator_answer.ts
@@ -1,4 +1,4 @@
-/** Error answers of the operators' HTTP. */
+/** Error answers of the HTTP API for operators. */
 import type Koa from "koa";
 
 export interface OperatorError {
@@ -6,7 +6,7 @@
   readonly message: string;
 }
 
-/** Writes an error with its code and what to do. */
+/** Writes an error answer. */
 export function writeError(
   koa: Koa.Context,
   status: number,
@@ -16,7 +16,7 @@
   koa.body = { error };
 }
 
-/** Writes that the object has another version than the change needs. */
+/** Writes that the object does not have the version that the change requires. */
 export function writeConflict(
   koa: Koa.Context,
   status: 409 | 412,
@@ -27,7 +27,7 @@
   koa.body = { error: { code, message }, current: { version } };
 }
 
-/** Writes that the store is away, so that nothing can be changed. */
+/** Writes that the object store is unavailable and nothing was changed. */
 export function writeUnavailable(koa: Koa.Context, message: string): void {
   koa.set("Retry-After", "1");
   writeError(koa, 503, {
--- a/packages/anvilhinge/src/entry/operators/operators_http.ts
+++ b/packages/anvilhinge/src/entry/operators/operators_http.ts
@@ -1,4 +1,4 @@
-/** Operators' HTTP: settings under paths with versions, status, metrics, health. */
+/** HTTP API for operators: versioned settings, status, metrics and health. */
 import Router from "@koa/router";
 import type Koa from "koa";
 import * as record from "../../settings/record.ts";
@@ -6,7 +6,7 @@
 import * as operatorAnswer from "./operator_answer.ts";
 import * as operatorsWrite from "./operators_write.ts";
 
-/** Creates the operators' routes of an entry. */
+/** Creates the routes of an entry for operators. */
 export function createOperatorsRouter(entry: context.EntryContext): Router {
   const router = new Router();
 
--- a/packages/anvilhinge/src/entry/operators/operators_write.ts
+++ b/packages/anvilhinge/src/entry/operators/operators_write.ts
@@ -1,4 +1,4 @@
-/** Operators' HTTP for changes: `PUT /settings/...` and `GET /changes/<id>`. */
+/** HTTP API for changes of settings: `PUT /settings/...`, `GET /changes/<id>`. */
 import Router from "@koa/router";
 import coBody from "co-body";
 import type Koa from "koa";
@@ -13,14 +13,14 @@
 const changeIdPattern = /^[A-Za-z0-9._-]{8,128}$/;
 const entityTagPattern = /^"(\d+)"$/;
 const versionPattern = /^\d{1,15}$/;
-const changeIdRule =
+const changeIdRequirement =
   'must have 8 to 128 characters of A-Z, a-z, 0-9, ".", "_", "-"';
 
-type Condition =
+type ParsedCondition =
   | { readonly kind: "valid"; readonly ifVersion: number }
   | { readonly kind: "refused"; readonly message: string };
 
-function parseCondition(koa: Koa.Context): Condition {
+function parseCondition(koa: Koa.Context): ParsedCondition {
   if (koa.get("If-None-Match") === "*") return { kind: "valid", ifVersion: 0 };
   const match = entityTagPattern.exec(koa.get("If-Match"));
   if (match !== null) return { kind: "valid", ifVersion: Number(match[1]) };
@@ -45,7 +45,7 @@
   koa.body = { error: { code: "invalid_settings", message }, problems };
 }
 
-/** Writes the answer to a change. */
+/** Writes the outcome of a change as the answer. */
 function writeOutcome(
   koa: Koa.Context,
   outcome: settingsChange.ChangeOutcome,
@@ -99,7 +99,7 @@
   }
 }
 
-/** Adds the routes that change settings. */
+/** Adds the routes that change settings and look up changes. */
 export function addWriteRoutes(
   router: Router,
   entry: context.EntryContext,
@@ -151,7 +151,7 @@
     if (!changeIdPattern.test(changeId)) {
       return operatorAnswer.writeError(koa, 400, {
         code: "invalid_header",
-        message: `Header Change-Id ${changeIdRule}`,
+        message: `Header Change-Id ${changeIdRequirement}`,
       });
     }
     const text = await coBody.text(koa.req, {
@@ -177,19 +177,20 @@
         code: "invalid_request",
         message: parsed.kind === "refused"
           ? `Query parameter path: ${parsed.message}`
-          : `The change id ${changeIdRule}`,
+          : `The change id ${changeIdRequirement}`,
       });
     }
     const ifVersion = readQuery(koa, "ifVersion");
-    const lost = {
+    const ambiguousChange = {
       path,
       changeId,
       ifVersion: versionPattern.test(ifVersion) ? Number(ifVersion) : undefined,
     };
-    // Ruling a change out writes to the object, which only its operators may.
+    // Ruling out a change writes a fence to the object, which only an operator of
+    // its subtree may do.
     const settlement = findOperator(koa, parsed.path) === undefined
-      ? await settingsChange.findChange(lost, entry.store)
-      : await settingsChange.settleChange(lost, changeOptions);
+      ? await settingsChange.findChange(ambiguousChange, entry.store)
+      : await settingsChange.settleChange(ambiguousChange, changeOptions);
     koa.body = settlement.kind === "unknown"
       ? { outcome: settlement.kind, message: settlement.message }
       : { outcome: settlement.kind, version: settlement.version };
--- a/packages/anvilhinge/src/entry/operators/routed_metrics.ts
+++ b/packages/anvilhinge/src/entry/operators/routed_metrics.ts
@@ -1,23 +1,23 @@
-/** Metrics of an entry before routed services, and the server that shows them. */
+/** Metrics of an entry for routed services, and the HTTP server for them. */
 import * as http from "node:http";
 import type * as workHub from "@anvilhinge/coordination/dispatch/work_hub";
 import type * as routing from "../../settings/routing.ts";
 import type * as metrics from "../../telemetry/metrics.ts";
 
-/** How a request ended, for the counters. */
+/** Result of a request, for the metrics. */
 export interface RequestEnd {
   readonly kind: routing.RouteKind;
-  /** Priority of the workspace, or of the route without one. */
+  /** Priority of the workspace, or of the route if there is no workspace. */
   readonly priority: number;
   readonly outcome: "answered" | "failed" | "refused" | "gone";
   readonly tookMs: number;
-  /** Time to the first part of the answer; undefined without one. */
+  /** Time to the first part of the answer; undefined if there was none. */
   readonly firstMs: number | undefined;
-  /** Time that it waited for places. */
+  /** Time for which the request waited for slots. */
   readonly waitedMs: number;
 }
 
-/** What is read when the metrics are shown. */
+/** Values that are read when the metrics are rendered. */
 export interface MetricsSources {
   readonly countOpenRequests: () => number;
   readonly getViewVersion: () => number;
@@ -32,14 +32,14 @@
 
 export interface RoutedMetrics {
   recordRequest(end: RequestEnd): void;
-  /** Records a refusal of the entry's own, before any session. */
+  /** Records that the entry refused a request before a session began. */
   recordRefusal(reason: string): void;
   recordRetry(isTaken: boolean): void;
   recordStoreCall(call: string, outcome: "answered" | "failed"): void;
   recordDecision(by: string, kind: "granted" | "denied"): void;
 }
 
-/** Creates the metrics of one entry. */
+/** Registers the metrics of one entry. */
 export function createRoutedMetrics(
   registry: metrics.Metrics,
   sources: MetricsSources,
@@ -69,20 +69,20 @@
     help: "Decisions on places by who made them: the hub or the own share",
     labelNames: ["by", "kind"],
   });
-  const recordTook = registry.createDistribution({
+  const recordDuration = registry.createDistribution({
     name: "anvilhinge_request_duration_ms",
     help: "Time from the arrival of a request to its end, in milliseconds",
   });
-  const recordFirst = registry.createDistribution({
+  const recordTimeToFirstPart = registry.createDistribution({
     name: "anvilhinge_first_part_ms",
     help: "Time to the first part of an answer, in milliseconds",
   });
-  const recordWaited = registry.createDistribution({
+  const recordSlotWait = registry.createDistribution({
     name: "anvilhinge_place_wait_ms",
     help: "Time that requests waited for places, in milliseconds",
   });
 
-  function registerValue(
+  function registerValueGauge(
     name: string,
     help: string,
     read: () => number,
@@ -90,47 +90,47 @@
     registry.registerGauge({ name, help, read: () => [{ value: read() }] });
   }
 
-  registerValue(
+  registerValueGauge(
     "anvilhinge_open_requests",
     "Requests in progress",
     sources.countOpenRequests,
   );
-  registerValue(
+  registerValueGauge(
     "anvilhinge_view_version",
     "Version of the routing settings in force",
     sources.getViewVersion,
   );
-  registerValue(
+  registerValueGauge(
     "anvilhinge_view_age_ms",
     "Time since the store confirmed the routing settings, in milliseconds",
     () => Math.min(sources.getViewAgeMs(), Number.MAX_SAFE_INTEGER),
   );
-  registerValue(
+  registerValueGauge(
     "anvilhinge_live_entries",
     "Entries believed to be alive, this one included",
     sources.countLiveEntries,
   );
-  registerValue(
+  registerValueGauge(
     "anvilhinge_is_hub",
     "1 when this entry is the hub",
     () => sources.isHub() ? 1 : 0,
   );
-  registerValue(
+  registerValueGauge(
     "anvilhinge_retries_left",
     "Retries that this entry may take now",
     sources.countRetriesLeft,
   );
-  registerValue(
+  registerValueGauge(
     "anvilhinge_dropped_log_lines",
     "Log lines that their reader did not take in time",
     sources.countDroppedLines,
   );
-  registerValue(
+  registerValueGauge(
     "anvilhinge_loop_delay_ms",
     "Largest delay of the loop in the last seconds, in milliseconds",
     sources.getEventLoopDelayMs,
   );
-  registerValue(
+  registerValueGauge(
     "anvilhinge_memory_bytes",
     "Resident memory of the process, in bytes",
     () => process.memoryUsage.rss(),
@@ -156,9 +156,11 @@
       countRequest({
         labels: { kind, priority: String(priority), outcome },
       });
-      recordTook(Math.round(end.tookMs));
-      recordWaited(Math.round(end.waitedMs));
-      if (end.firstMs !== undefined) recordFirst(Math.round(end.firstMs));
+      recordDuration(Math.round(end.tookMs));
+      recordSlotWait(Math.round(end.waitedMs));
+      if (end.firstMs !== undefined) {
+        recordTimeToFirstPart(Math.round(end.firstMs));
+      }
     },
     recordRefusal: (reason) => countRefusal({ labels: { reason } }),
     recordRetry: (isTaken) =>
@@ -169,7 +171,7 @@
   };
 }
 
-/** Creates the server that shows metrics at any path. */
+/** Creates the server that answers requests for any path with the metrics. */
 export function createMetricsServer(registry: metrics.Metrics): http.Server {
   return http.createServer((_request, response) => {
     registry.render().then((text) => {
@@ -182,24 +184,27 @@
   });
 }
 
-/** Measures by how much timers of the loop come late. */
+/**
+ * Measures the delay of a periodic timer on the event loop; the returned function
+ * returns the last measured delay in milliseconds.
+ */
 export function createEventLoopMonitor(
   options: { readonly signal: AbortSignal },
 ): () => number {
   let largestMs = 0;
-  let before = 0;
-  let dueAtMs = performance.now() + loopIntervalMs;
+  let lastDelayMs = 0;
+  let expectedAtMs = performance.now() + loopSampleIntervalMs;
   const timer = setInterval(() => {
     const nowMs = performance.now();
-    before = Math.max(largestMs, nowMs - dueAtMs);
+    lastDelayMs = Math.max(largestMs, nowMs - expectedAtMs);
     largestMs = 0;
-    dueAtMs = nowMs + loopIntervalMs;
-  }, loopIntervalMs);
+    expectedAtMs = nowMs + loopSampleIntervalMs;
+  }, loopSampleIntervalMs);
   timer.unref();
   options.signal.addEventListener("abort", () => clearInterval(timer), {
     once: true,
   });
-  return () => before;
+  return () => lastDelayMs;
 }
 
-const loopIntervalMs = 1_000;
+const loopSampleIntervalMs = 1_000;
--- a/packages/anvilhinge/src/entry/operators/settings_change.ts
+++ b/packages/anvilhinge/src/entry/operators/settings_change.ts
@@ -1,6 +1,7 @@
 /**
- * Writes one change of a settings object: checks it against the present objects
- * of its subtree, writes under the stated version, and settles a lost answer.
+ * Writes one change of a settings object: validates it against the stored objects
+ * of its subtree, writes it on condition of the given version, and settles a
+ * write whose answer was lost.
  */
 import * as crypto from "node:crypto";
 import * as ambiguousWrite from "@anvilhinge/coordination/ambiguous_write";
@@ -17,20 +18,20 @@
   readonly object: objects.SettingsObject;
   readonly author: string;
   readonly changeId: string;
-  /** Version that the object must have; 0 = it must not exist. */
+  /** Version that the object must have; 0 = the object must not exist. */
   readonly ifVersion: number;
 }
 
 export type ChangeOutcome =
   | { readonly kind: "accepted"; readonly version: number }
-  /** Somebody else changed the object. */
+  /** The object was changed by another request. */
   | { readonly kind: "conflict"; readonly version: number }
-  /** The change did not take effect and can't any more. */
+  /** The change did not take effect and can't take effect later. */
   | { readonly kind: "not_accepted"; readonly version: number }
   /** The change id belongs to another change. */
   | { readonly kind: "repeated_id" }
   | { readonly kind: "invalid"; readonly problems: readonly document.Problem[] }
-  /** The group's name belongs to another settings path. */
+  /** The name of the group is reserved for another settings path. */
   | { readonly kind: "name_taken"; readonly path: string }
   | objectStore.Unavailable
   | { readonly kind: "unknown"; readonly message: string };
@@ -39,15 +40,15 @@
   readonly store: objectStore.ObjectStore;
   readonly catalog: Pick<catalog.Catalog, "listGroupPaths">;
   readonly createId: () => string;
-  /** Returns the present time by the wall clock as ISO 8601. */
+  /** Returns the current wall-clock time in ISO 8601 format. */
   readonly formatNow: () => string;
 }
 
-/** A write whose answer was lost, as its asker knows it. */
+/** A change whose answer was lost, so that its outcome is unknown. */
 export interface AmbiguousChange {
   readonly path: string;
   readonly changeId: string;
-  /** Condition of the write; undefined = not known. */
+  /** Version on which the write was conditional; undefined = unknown. */
   readonly ifVersion?: number;
 }
 
@@ -59,7 +60,7 @@
     .slice(0, digestLength);
 }
 
-function convertPresent(
+function extractHistory(
   stored: objectStore.StoredObject | undefined,
 ): ambiguousWrite.ObjectHistory {
   if (stored === undefined) return { version: 0, changes: [] };
@@ -71,28 +72,31 @@
   stored: objectStore.StoredObject,
 ): readonly objects.SettingsObject[] {
   const path = record.parseKey(stored.key);
-  const present = record.parsePresentRecord(stored.value);
-  if (path === undefined || present === undefined) return [];
-  const checked = objects.checkObject(path, present.text);
+  const current = record.parsePresentRecord(stored.value);
+  if (path === undefined || current === undefined) return [];
+  const checked = objects.checkObject(path, current.text);
   return checked.kind === "valid" ? [checked.settings] : [];
 }
 
-/** Finds an earlier arrival of the same change. */
+/** Returns the outcome if the change id is already in the history. */
 function findRepeated(
   change: SettingsChange,
   stored: objectStore.StoredObject | undefined,
 ): ChangeOutcome | undefined {
-  const present = convertPresent(stored);
+  const present = extractHistory(stored);
   const version = ambiguousWrite.findAcceptedVersion(present, change.changeId);
   if (version === undefined) return undefined;
   const changes = record.parseRecord(stored?.value)?.changes ?? [];
-  const known = changes.find(({ changeId }) => changeId === change.changeId);
-  const isSame = known?.author === change.author &&
-    known.textDigest === computeDigest(change.object.document.text);
+  const recorded = changes.find(({ changeId }) => changeId === change.changeId);
+  const isSame = recorded?.author === change.author &&
+    recorded.textDigest === computeDigest(change.object.document.text);
   return isSame ? { kind: "accepted", version } : { kind: "repeated_id" };
 }
 
-/** Returns the version that the key must have in the store. */
+/**
+ * Returns the version that the key must have in the object store: a fence leaves
+ * a version behind even if the object does not exist.
+ */
 function resolveCondition(
   change: SettingsChange,
   stored: objectStore.StoredObject | undefined,
@@ -110,7 +114,7 @@
   if (path.kind !== "groups") return undefined;
   const ownPath = objects.formatSettingsPath(path);
   const [other] = options.catalog.listGroupPaths(path.name)
-    .filter((known) => known !== ownPath);
+    .filter((candidate) => candidate !== ownPath);
   if (other !== undefined) return { kind: "name_taken", path: other };
   const group = { name: path.name, path: ownPath };
   const outcome = await groupNames.reserveGroupName(options.store, group);
@@ -154,7 +158,7 @@
   }
 }
 
-/** Applies the change; at most one arrival of it takes effect. */
+/** Applies the change; at most one of its submissions takes effect. */
 export async function applyChange(
   change: SettingsChange,
   options: ChangeOptions,
@@ -169,9 +173,9 @@
   const stored = listed.objects.find((object) => object.key === key);
   const repeated = findRepeated(change, stored);
   if (repeated !== undefined) return repeated;
-  const presentVersion = stored?.version ?? 0;
-  if (resolveCondition(change, stored) !== presentVersion) {
-    return { kind: "conflict", version: presentVersion };
+  const currentVersion = stored?.version ?? 0;
+  if (resolveCondition(change, stored) !== currentVersion) {
+    return { kind: "conflict", version: currentVersion };
   }
   const checked = subtree.checkAgainstSubtree(
     change.object,
@@ -184,7 +188,7 @@
 }
 
 async function writeFence(
-  lost: AmbiguousChange,
+  ambiguousChange: AmbiguousChange,
   options: ChangeOptions & {
     readonly ifVersion: number;
     readonly stored: objectStore.StoredObject | undefined;
@@ -196,9 +200,9 @@
     author: fenceAuthor,
     at: options.formatNow(),
     previousVersion: ifVersion,
-    fences: lost.changeId,
+    fences: ambiguousChange.changeId,
   });
-  const key = record.formatKey(lost.path);
+  const key = record.formatKey(ambiguousChange.path);
   const outcome = await options.store.write(key, fence, { ifVersion });
   switch (outcome.kind) {
     case "accepted":
@@ -212,13 +216,13 @@
   }
 }
 
-/** Finds out what became of a change, and rules it out if it must. */
+/** Determines the outcome of a change; rules it out if it is not found. */
 export async function settleChange(
-  lost: AmbiguousChange,
+  ambiguousChange: AmbiguousChange,
   options: ChangeOptions,
 ): Promise<ambiguousWrite.Settlement> {
-  const process = ambiguousWrite.createSettlement(lost);
-  const key = record.formatKey(lost.path);
+  const settlement = ambiguousWrite.createSettlement(ambiguousChange);
+  const key = record.formatKey(ambiguousChange.path);
   let stored: objectStore.StoredObject | undefined;
 
   async function execute(
@@ -229,34 +233,41 @@
   ): Promise<ambiguousWrite.SettlementEvent> {
     if (effect.kind === "fence") {
       const { ifVersion } = effect;
-      return await writeFence(lost, { ...options, ifVersion, stored });
+      return await writeFence(ambiguousChange, {
+        ...options,
+        ifVersion,
+        stored,
+      });
     }
     const outcome = await options.store.read(key);
     if (outcome.kind === "unavailable") return outcome;
     stored = outcome.kind === "found" ? outcome.object : undefined;
-    return { kind: "read", present: convertPresent(stored) };
+    return { kind: "read", present: extractHistory(stored) };
   }
 
   let effect: ambiguousWrite.SettlementEffect = { kind: "read" };
   while (effect.kind !== "settled") {
-    effect = process.handle(await execute(effect));
+    effect = settlement.handle(await execute(effect));
   }
   return effect.settlement;
 }
 
-/** Looks a change up without ruling it out. */
+/** Looks up a change without ruling it out. */
 export async function findChange(
-  lost: AmbiguousChange,
+  ambiguousChange: AmbiguousChange,
   store: objectStore.ObjectStore,
 ): Promise<ambiguousWrite.Settlement> {
-  const outcome = await store.read(record.formatKey(lost.path));
+  const outcome = await store.read(record.formatKey(ambiguousChange.path));
   if (outcome.kind === "unavailable") {
     return { kind: "unknown", message: outcome.message };
   }
-  const present = convertPresent(
+  const present = extractHistory(
     outcome.kind === "found" ? outcome.object : undefined,
   );
-  const version = ambiguousWrite.findAcceptedVersion(present, lost.changeId);
+  const version = ambiguousWrite.findAcceptedVersion(
+    present,
+    ambiguousChange.changeId,
+  );
   if (version !== undefined) return { kind: "accepted", version };
   const message =
     "The change was not found; only the subtree's operators can rule it out";
--- a/packages/anvilhinge/src/entry/operators/settings_change_test.ts
+++ b/packages/anvilhinge/src/entry/operators/settings_change_test.ts
@@ -17,7 +17,7 @@
   ranks: [{ agent: "10.0.0.1:1", failureDomain: "milan-1", region: "milan" }],
 });
 const changeId = "change-0001";
-const lateMs = 60_000;
+const lateWriteDelayMs = 60_000;
 
 function createSetup() {
   const api = objectApi.createObjectApi();
@@ -31,7 +31,7 @@
   let calls = 0;
   let ids = 0;
 
-  /** Switches the fault on that is planned for the next call. */
+  /** Activates the fault that is planned for the current call, if any. */
   function applyPlan(): void {
     const fault = planned.get(calls);
     if (fault !== undefined) faultSwitch.set(fault, { callCount: 1 });
@@ -94,7 +94,7 @@
     options,
     settle: (lost: settingsChange.AmbiguousChange) =>
       complete(settingsChange.settleChange(lost, options)),
-    /** Plans faults by the number of the call from now on. */
+    /** Plans faults by the number of the call, counted from now. */
     plan(faultsByCall: Readonly<Record<number, faults.Fault>>) {
       calls = 0;
       planned.clear();
@@ -109,19 +109,19 @@
   return JSON.stringify({ maxTokens });
 }
 
-const everyFault: readonly faults.Fault[] = [
+const allFaults: readonly faults.Fault[] = [
   { kind: "down" },
   { kind: "answer_lost" },
-  { kind: "late", delayMs: lateMs },
+  { kind: "late", delayMs: lateWriteDelayMs },
   { kind: "late", delayMs: 0 },
   { kind: "duplicated" },
   { kind: "stall" },
 ];
 
-/** Calls: 0 list, 1 write, 2 read back, 3 fence, 4 read back, 5 fence. */
-const faultPairs = everyFault.flatMap((first) =>
+/** Calls to the object store: 0 list, 1 write, 2 read, 3 fence, 4 read, 5 fence. */
+const faultPairs = allFaults.flatMap((first) =>
   [0, 1, 2, 3].flatMap((firstCall) =>
-    everyFault.flatMap((second) =>
+    allFaults.flatMap((second) =>
       [1, 2, 3, 4, 5].filter((call) => call > firstCall).map((secondCall) => ({
         [firstCall]: first,
         [secondCall]: second,
@@ -132,51 +132,54 @@
 
 describe.each([
   { name: "a new object", isNew: true },
-  { name: "a present object", isNew: false },
-])("two faults at any two calls, $name", ({ isNew }) => {
-  test.each(faultPairs.map((plan) => ({ plan, text: JSON.stringify(plan) })))(
-    "$text",
-    async ({ plan }) => {
-      const setup = createSetup();
-      let ifVersion = 0;
-      if (!isNew) {
-        const first = await setup.apply(modelPath, buildModel(1), {
-          changeId: "change-0000",
+  { name: "an existing object", isNew: false },
+])(
+  "a change of $name with faults at any two calls settles correctly",
+  ({ isNew }) => {
+    test.each(faultPairs.map((plan) => ({ plan, text: JSON.stringify(plan) })))(
+      "$text",
+      async ({ plan }) => {
+        const setup = createSetup();
+        let ifVersion = 0;
+        if (!isNew) {
+          const first = await setup.apply(modelPath, buildModel(1), {
+            changeId: "change-0000",
+          });
+          ifVersion = first.kind === "accepted" ? first.version : -1;
+        }
+        setup.plan(plan);
+        const outcome = await setup.apply(modelPath, buildModel(2), {
+          ifVersion,
         });
-        ifVersion = first.kind === "accepted" ? first.version : -1;
-      }
-      setup.plan(plan);
-      const outcome = await setup.apply(modelPath, buildModel(2), {
-        ifVersion,
-      });
-      setup.plan({});
-      const lost = { path: modelPath, changeId };
-      const answer = outcome.kind === "unknown"
-        ? await setup.settle(lost)
-        : outcome;
-      await setup.scheduler.advanceAsync(2 * lateMs);
-      const changes = setup.readRecord(modelPath)?.changes ?? [];
-      const isInHistory = changes.some((change) =>
-        change.changeId === changeId
-      );
-      expect(["accepted", "not_accepted", "unavailable"])
-        .toContain(answer.kind);
-      expect(isInHistory).toBe(answer.kind === "accepted");
-      const text = setup.readRecord(modelPath)?.text;
-      if (isInHistory) expect(text).toBe(buildModel(2));
-      else expect(text ?? "").toBe(isNew ? text ?? "" : buildModel(1));
-    },
-  );
-});
+        setup.plan({});
+        const lost = { path: modelPath, changeId };
+        const answer = outcome.kind === "unknown"
+          ? await setup.settle(lost)
+          : outcome;
+        await setup.scheduler.advanceAsync(2 * lateWriteDelayMs);
+        const changes = setup.readRecord(modelPath)?.changes ?? [];
+        const isInHistory = changes.some((change) =>
+          change.changeId === changeId
+        );
+        expect(["accepted", "not_accepted", "unavailable"])
+          .toContain(answer.kind);
+        expect(isInHistory).toBe(answer.kind === "accepted");
+        const text = setup.readRecord(modelPath)?.text;
+        if (isInHistory) expect(text).toBe(buildModel(2));
+        else expect(text ?? "").toBe(isNew ? text ?? "" : buildModel(1));
+      },
+    );
+  },
+);
 
-test("a lost write that arrives after the answer has no effect", async () => {
+test("a delayed write that arrives after the answer has no effect", async () => {
   const setup = createSetup();
-  setup.plan({ 1: { kind: "late", delayMs: lateMs } });
+  setup.plan({ 1: { kind: "late", delayMs: lateWriteDelayMs } });
   const outcome = await setup.apply(modelPath, buildModel(1));
   expect(outcome.kind).toBe("not_accepted");
-  await setup.scheduler.advanceAsync(2 * lateMs);
+  await setup.scheduler.advanceAsync(2 * lateWriteDelayMs);
   expect(setup.readRecord(modelPath)).toMatchObject({ isAbsent: true });
-  // The object can still be created as if it had never existed.
+  // The fence leaves a version behind, but the object can still be created.
   const again = await setup.apply(modelPath, buildModel(2), {
     changeId: "change-0002",
   });
@@ -184,9 +187,9 @@
   expect(setup.readRecord(modelPath)?.isAbsent).toBeUndefined();
 });
 
-test("a lost write that arrives before the fence is accepted", async () => {
+test("a delayed write that arrives before the fence is accepted", async () => {
   const setup = createSetup();
-  // The fence is delayed as well; the write arrives while it is on its way.
+  // The fence is delayed as well, so that the write arrives before the fence.
   setup.plan({
     1: { kind: "late", delayMs: 500 },
     3: { kind: "slow", delayMs: 1_000 },
@@ -195,7 +198,7 @@
   expect(outcome).toEqual({ kind: "accepted", version: 1 });
 });
 
-test("a change that is asked for twice takes effect once", async () => {
+test("a change that is submitted twice takes effect once", async () => {
   const setup = createSetup();
   const first = await setup.apply(modelPath, buildModel(1));
   expect(await setup.apply(modelPath, buildModel(1))).toEqual(first);
@@ -219,7 +222,7 @@
     .toEqual({ kind: "accepted", version: 1 });
 });
 
-test("a change is unknown once the history has forgotten its time", async () => {
+test("a change is unknown after its part of the history was dropped", async () => {
   const setup = createSetup();
   let ifVersion = 0;
   for (let index = 0; index <= record.maxHistoryChanges; index += 1) {
@@ -231,12 +234,12 @@
   }
   const lost = { path: modelPath, changeId: "change-10-x" };
   expect((await setup.settle(lost)).kind).toBe("unknown");
-  // With its condition, a change of later versions can still be told.
+  // A change whose known condition the history still covers can be ruled out.
   expect(await setup.settle({ path: modelPath, changeId, ifVersion: 5 }))
     .toMatchObject({ kind: "not_accepted" });
 });
 
-test("the loser of a race is told the winner's version", async () => {
+test("the loser of two concurrent changes gets the version of the winner", async () => {
   const setup = createSetup();
   const [first, second] = await Promise.all([
     setup.apply(modelPath, buildModel(1), { changeId: "change-000a" }),
@@ -247,7 +250,7 @@
 });
 
 describe("references", () => {
-  test("to things missing are refused with path and line", async () => {
+  test("to missing objects are refused with path and line", async () => {
     const setup = createSetup();
     const outcome = await setup.apply(groupPath, groupText);
     expect(outcome).toMatchObject({
@@ -262,7 +265,7 @@
 
   test("are checked within the subtree only", async () => {
     const setup = createSetup();
-    // The other half's subtree holds the service, and an unreadable object.
+    // The subtree of the other half has the service and an invalid object.
     await setup.apply(servicePath.replace("association", "water_board"), "{}");
     setup.api.write("settings/water_board/drafting/models/broken", {}, {
       ifVersion: 0,
@@ -284,7 +287,7 @@
   });
 });
 
-test("two teams that race for a group's name: one gets it", async () => {
+test("only one of two teams that claim a group name concurrently gets it", async () => {
   const setup = createSetup();
   const otherPath = groupPath.replace("drafting", "archive");
   await setup.apply(servicePath, "{}");
@@ -297,14 +300,14 @@
   expect(outcomes[1]).toMatchObject({ path: groupPath });
 });
 
-test.each(everyFault)(
-  "a fault while the name is reserved: $kind",
+test.each(allFaults)(
+  "a group can be created after the fault $kind in its name reservation",
   async (fault) => {
     const setup = createSetup();
     await setup.apply(servicePath, "{}");
     setup.plan({ 1: fault });
     const outcome = await setup.apply(groupPath, groupText);
-    await setup.scheduler.advanceAsync(2 * lateMs);
+    await setup.scheduler.advanceAsync(2 * lateWriteDelayMs);
     const isAccepted = outcome.kind === "accepted";
     expect(setup.readRecord(groupPath) !== undefined).toBe(isAccepted);
     setup.plan({});
--- a/packages/anvilhinge/src/entry/routed_entry.ts
+++ b/packages/anvilhinge/src/entry/routed_entry.ts
@@ -1,6 +1,7 @@
 /**
- * An entry before routed services: callers connect to it directly, and it calls
- * upstreams directly. Composes the parts and runs their life cycle.
+ * The entry role for routed services: callers connect to the entry directly, and
+ * the entry calls upstreams directly, without agents. Composes the components
+ * and runs their life cycle.
  */
 import * as nodeCrypto from "node:crypto";
 import * as http from "node:http";
@@ -26,48 +27,53 @@
 import * as routedMetrics from "./operators/routed_metrics.ts";
 import * as routingView from "./routing/routing_view.ts";
 
-/** Where callers that ask should connect. */
+/** Addresses of entries to which a caller may connect. */
 export interface AddressAnswer {
   /** Addresses as `host:port`. */
   readonly addresses: readonly string[];
+  /** Time for which the caller may cache the answer. */
   readonly ttlMs: number;
 }
 
-/** What the platform's adapters need of the entry. */
+/** Status of the entry for the endpoints that the platform's adapters serve. */
 export interface EntryStatus {
   isReady(): boolean;
-  /** Returns undefined while no entry is known to be ready. */
+  /** Returns undefined if no known entry is ready. */
   findAddresses(
     caller: { readonly failureDomain: string },
   ): AddressAnswer | undefined;
 }
 
-/** Adapters between the entry and one platform. */
+/** Adapters that connect the entry to a platform. */
 export interface RoutedPlatform {
   createStore(options: objectStore.StoreOptions): objectStore.ObjectStore;
   readonly source: routingView.RoutingSource;
   readonly callerDialect: callerDialect.CallerDialect;
   readonly upstreamDialect: upstreamDialect.UpstreamDialect;
-  createReadinessHandler(points: EntryStatus): http.RequestListener;
-  createDirectoryHandler(points: EntryStatus): http.RequestListener;
+  createReadinessHandler(status: EntryStatus): http.RequestListener;
+  createDirectoryHandler(status: EntryStatus): http.RequestListener;
 }
 
 export interface RoutedEntryOptions {
   readonly settings: routedProcess.RoutedEntrySettings;
   readonly platform: RoutedPlatform;
   readonly reload: reload.SettingsReloader<routedProcess.RoutedEntrySettings>;
-  /** Asks for a graceful stop. */
+  /** Starts a graceful stop when it aborts. */
   readonly signal: AbortSignal;
 }
 
-/** Share of the revocation bound at which keys are no longer trusted. */
-const keyAgeShare = 0.88;
-/** Shortest time that callers keep an address answer; some keep it thrice. */
+/**
+ * Part of the revocation bound for which keys are accepted after they were last
+ * confirmed.
+ */
+const maxKeyAgeShare = 0.88;
+/** Shortest time for which callers cache an address answer. */
 const addressTtlMs = 1_500;
-const addressKeepFactor = 3;
-/** Time kept back at a stop to end in order. */
-const stopSlackMs = 400;
-const drainPollMs = 20;
+/** Some callers cache an address answer for up to three times that time. */
+const addressCacheFactor = 3;
+/** Part of the time limit of a stop that is reserved for closing in order. */
+const stopReserveMs = 400;
+const drainPollIntervalMs = 20;
 const maxHeaderBytes = 64 * 1024;
 
 type Message = rosterNode.RosterMessage | slotCoordinator.DispatchMessage;
@@ -84,7 +90,7 @@
   return messageKinds.includes(kind);
 }
 
-/** Addresses for datagrams of the entries that the settings name. */
+/** Lists the datagram addresses of the seed entries in the settings. */
 function listPeers(
   { peers, seeds }: routedProcess.RoutedEntrySettings,
 ): readonly string[] {
@@ -103,7 +109,7 @@
   });
 }
 
-/** Runs the entry until it is asked to stop; resolves when it has stopped. */
+/** Runs the entry until the signal aborts; resolves when it has stopped. */
 export async function runRoutedEntry(
   { settings, platform, signal, ...options }: RoutedEntryOptions,
 ): Promise<void> {
@@ -129,7 +135,7 @@
   };
   let isReady = false;
   const registry = metrics.createMetrics();
-  const counts = routedMetrics.createRoutedMetrics(registry, {
+  const entryMetrics = routedMetrics.createRoutedMetrics(registry, {
     countOpenRequests: () => state.openRequests,
     getViewVersion: () => view.getTable()?.settings.version ?? 0,
     getViewAgeMs: () => view.getAgeMs(),
@@ -168,8 +174,8 @@
     scheduler: clock,
     elapsed,
     readHubStatus: () => view.readStatus(),
-    onHubStatus: ({ news, sampledAfterMs: trueAfterMs }) =>
-      view.applyHubStatus(news, trueAfterMs),
+    onHubStatus: ({ news, sampledAfterMs }) =>
+      view.applyHubStatus(news, sampledAfterMs),
     sockets,
     logger: log,
     signal: abort.signal,
@@ -190,7 +196,7 @@
     scheduler: clock,
     random: randomSource,
     logger: log,
-    metrics: counts,
+    metrics: entryMetrics,
     sockets,
     signal: abort.signal,
   });
@@ -202,7 +208,7 @@
       address: settings.store,
       scheduler: clock,
       signal: abort.signal,
-      onCall: counts.recordStoreCall,
+      onCall: entryMetrics.recordStoreCall,
     }),
     scheduler: clock,
     elapsed,
@@ -210,16 +216,16 @@
     logger: log,
     signal: abort.signal,
     isHub: roster.isHub,
-    onRouting({ settings: inForce }) {
-      const { limits } = inForce;
-      policy.setRouting(inForce);
-      callers.keepAliveTimeout = limits.idleTimeoutMs;
-      callers.headersTimeout = limits.headerTimeoutMs;
+    onRouting({ settings: currentSettings }) {
+      const { limits } = currentSettings;
+      policy.setRouting(currentSettings);
+      callerServer.keepAliveTimeout = limits.idleTimeoutMs;
+      callerServer.headersTimeout = limits.headerTimeoutMs;
     },
     onUpstreams: policy.setUpstreams,
     onReady: setReady,
   });
-  const callers = http.createServer(
+  const callerServer = http.createServer(
     { maxHeaderSize: maxHeaderBytes, requestTimeout: 0 },
     routedHttp.createRoutedHandler({
       dialect: platform.callerDialect,
@@ -231,12 +237,12 @@
       scheduler: clock,
       random: randomSource,
       logger: log,
-      metrics: counts,
+      metrics: entryMetrics,
       state,
-      maxKeyAgeMs: keyAgeShare * settings.bounds.revocationMs,
+      maxKeyAgeMs: maxKeyAgeShare * settings.bounds.revocationMs,
     }),
   );
-  const points: EntryStatus = {
+  const status: EntryStatus = {
     isReady: () => isReady && !state.isLeaving,
     findAddresses() {
       const addresses = roster.listLive().map(({ details }) => details)
@@ -247,31 +253,43 @@
         : { addresses, ttlMs: addressTtlMs };
     },
   };
-  const readiness = http.createServer(platform.createReadinessHandler(points));
-  const shown = routedMetrics.createMetricsServer(registry);
-  const directory = http.createServer(platform.createDirectoryHandler(points));
+  const readinessServer = http.createServer(
+    platform.createReadinessHandler(status),
+  );
+  const metricsServer = routedMetrics.createMetricsServer(registry);
+  const directoryServer = http.createServer(
+    platform.createDirectoryHandler(status),
+  );
 
   async function stop(): Promise<void> {
-    const askedAtMs = clock.now();
-    const endAtMs = askedAtMs + settings.bounds.stopMs - stopSlackMs;
+    const stopStartedAtMs = clock.now();
+    const stopDeadlineMs = stopStartedAtMs + settings.bounds.stopMs -
+      stopReserveMs;
     state.isLeaving = true;
     roster.setState({ isReady, isLeaving: true });
-    log.info("Stops being handed out");
-    const keptMs = Math.min(
-      addressKeepFactor * addressTtlMs,
+    log.info("Stopping: address answers now omit this entry");
+    const addressCacheMs = Math.min(
+      addressCacheFactor * addressTtlMs,
       settings.bounds.stopMs / 2,
     );
-    await delay.waitFor(clock, { delayMs: keptMs });
+    await delay.waitFor(clock, { delayMs: addressCacheMs });
     state.isClosed = true;
-    callers.close();
-    callers.closeIdleConnections();
-    log.info("Takes no new requests", { open: state.openRequests });
-    while (state.openRequests > 0 && clock.now() < endAtMs) {
-      await delay.waitFor(clock, { delayMs: drainPollMs });
+    callerServer.close();
+    callerServer.closeIdleConnections();
+    log.info("Refusing new requests", { open: state.openRequests });
+    while (state.openRequests > 0 && clock.now() < stopDeadlineMs) {
+      await delay.waitFor(clock, { delayMs: drainPollIntervalMs });
     }
     log.info("Stopped", { open: state.openRequests });
     abort.abort();
-    for (const server of [callers, readiness, directory, shown]) {
+    for (
+      const server of [
+        callerServer,
+        readinessServer,
+        directoryServer,
+        metricsServer,
+      ]
+    ) {
       server.close();
       server.closeAllConnections();
     }
@@ -295,12 +313,12 @@
     apply: (changed) => roster.addSeeds(listPeers(changed)),
   });
   await Promise.all([
-    listen(readiness, settings.readiness),
-    listen(directory, settings.directory),
-    listen(shown, settings.metrics),
+    listen(readinessServer, settings.readiness),
+    listen(directoryServer, settings.directory),
+    listen(metricsServer, settings.metrics),
   ]);
   await viewReady;
-  await listen(callers, settings.callers);
+  await listen(callerServer, settings.callers);
   isReady = true;
   roster.setState({ isReady, isLeaving: false });
   log.info("Serves callers", { address: settings.callers });
