--- a/packages/anvilhinge/src/entry/callers/callers_http.ts
+++ b/packages/anvilhinge/src/entry/callers/callers_http.ts
@@ -157,7 +157,7 @@
     );
     const answer = addresses.buildAddressAnswer(members, {
       workspace: workspace.value.id,
-      ownAddress: entry.state.isLeaving ? undefined : describeOwnAddress(koa),
+      ownAddress: entry.state.isLeaving ? undefined : formatOwnAddress(koa),
       nearDomain: getNearDomain(koa) ?? entry.settings.failureDomain,
       random: entry.random,
       ttlMs: entry.settings.addressAnswerTtlMs,
@@ -185,7 +185,7 @@
     };
   }
 
-  function wrapRequestHandler(
+  function refuseUnlessReady(
     handler: (koa: Koa.Context) => Promise<HandlerResult>,
   ): (koa: Koa.Context) => Promise<void> {
     return wrapHandler((koa) => {
@@ -205,11 +205,11 @@
     });
   }
 
-  router.post("/v1/chat/completions", wrapRequestHandler(handleChat));
+  router.post("/v1/chat/completions", refuseUnlessReady(handleChat));
   router.get("/v1/requests/:requestId", wrapHandler(handleOutcome));
   router.get("/v1/models", wrapHandler(handleModels));
   router.get("/v1/addresses", wrapHandler(handleAddresses));
-  router.all("/services/:service{/*path}", wrapRequestHandler(handleService));
+  router.all("/services/:service{/*path}", refuseUnlessReady(handleService));
   return router;
 }
 
@@ -247,7 +247,7 @@
 }
 
 /** Returns the address at which the caller reached this entry. */
-function describeOwnAddress(koa: Koa.Context): string {
+function formatOwnAddress(koa: Koa.Context): string {
   const { localAddress = "", localPort = 0 } = koa.req.socket;
   const host = net.isIPv6(localAddress) ? `[${localAddress}]` : localAddress;
   return `${host}:${localPort}`;
--- a/packages/anvilhinge/src/entry/callers/request_checks.ts
+++ b/packages/anvilhinge/src/entry/callers/request_checks.ts
@@ -15,8 +15,8 @@
 export const requestIdHeader = "X-Request-Id";
 
 /**
- * Header with the idempotency key: calls of a workspace that must not run twice
- * and have the same key count as one call, however often it is sent.
+ * Header with the idempotency key: calls that must not run twice and have the
+ * same key count as one call, however often it is sent.
  */
 export const idempotencyKeyHeader = "Idempotency-Key";
 
@@ -189,11 +189,9 @@
   koa: Koa.Context,
   createId: () => string,
 ): CheckResult<string> {
-  const requestId = koa.get(requestIdHeader);
-  if (requestId === "") return { kind: "valid", value: createId() };
-  if (requestIdPattern.test(requestId)) {
-    return { kind: "valid", value: requestId };
-  }
+  const id = koa.get(requestIdHeader);
+  if (id === "") return { kind: "valid", value: createId() };
+  if (requestIdPattern.test(id)) return { kind: "valid", value: id };
   return buildRefusal(400, "invalid_header", {
     message:
       `Header ${requestIdHeader} must have 8 to 128 characters of A-Z, a-z, 0-9, ".", "_", "-"`,
--- a/packages/anvilhinge/src/entry/callers/request_runner.ts
+++ b/packages/anvilhinge/src/entry/callers/request_runner.ts
@@ -115,7 +115,7 @@
     });
     const span = startSpan(koa, request, need);
     const callerAbort = new AbortController();
-    const closed = new Promise<void>((resolve) =>
+    const responseClosed = new Promise<void>((resolve) =>
       koa.res.once("close", () => {
         if (!koa.res.writableFinished) callerAbort.abort();
         resolve();
@@ -123,7 +123,7 @@
     );
     entry.state.openRequests += 1;
     const policy = entry.policy.startRequest(request, { need, isAdmitted });
-    const done = runner.runSession({
+    const sessionDone = runner.runSession({
       request,
       session: session.createSession(request, {
         clock: entry.scheduler,
@@ -153,12 +153,12 @@
     });
     // A planned stop waits until the last byte has been sent to the caller, not
     // only until the last frame has arrived.
-    void Promise.all([done, closed]).then(() => {
+    void Promise.all([sessionDone, responseClosed]).then(() => {
       entry.state.openRequests -= 1;
       policy.end();
       span.end();
     });
-    await Promise.race([writer.ready, done]);
+    await Promise.race([writer.ready, sessionDone]);
     span.setAttribute("http.response.status_code", koa.status);
   }
 
--- a/packages/anvilhinge/src/entry/callers/routed_http.ts
+++ b/packages/anvilhinge/src/entry/callers/routed_http.ts
@@ -62,7 +62,7 @@
 
 const notReadyRetryMs = 500;
 /** Network latency allowed for the answer on its path to the caller. */
-const answerSlackMs = 20;
+const answerLatencyMs = 20;
 /** Used if the caller does not send how long it will wait. */
 const defaultTimeLeftMs = 10_000;
 const querySeparator = "?";
@@ -159,7 +159,8 @@
   ): void {
     const { headers, route, service, workspace, arrivedAtMs } = accepted;
     const callerTimeLeftMs = headers.leftMs ?? defaultTimeLeftMs;
-    const leftMs = Math.min(callerTimeLeftMs, route.timeoutMs) - answerSlackMs;
+    const leftMs = Math.min(callerTimeLeftMs, route.timeoutMs) -
+      answerLatencyMs;
     const requestId = headers.requestId ?? "";
     const isStream = route.kind === "stream";
     const sessionRequest: session.Request = {
--- a/packages/anvilhinge/src/entry/context.ts
+++ b/packages/anvilhinge/src/entry/context.ts
@@ -15,8 +15,9 @@
 import type * as dispatchPolicy from "./choice/dispatch_policy.ts";
 
 /**
- * Whether the entry accepts requests. Changed by the start and stop of the entry
- * and by an operator's drain; `openRequests` by the request runner.
+ * Whether the entry accepts requests, and how many are in progress. `isReady`,
+ * `isLeaving` and `isClosed` are changed only by its life cycle: start, drain and
+ * stop.
  */
 export interface EntryState {
   /** False until the replica of settings and assignments is confirmed. */
--- a/packages/anvilhinge/src/entry/mod.ts
+++ b/packages/anvilhinge/src/entry/mod.ts
@@ -80,7 +80,7 @@
 const maxOutcomeWaitMs = 5_000;
 const platformTimeoutMs = 2_000;
 
-/** Builds the dependency container of an entry. */
+/** Registers the components of an entry in a dependency container. */
 function composeComponents(
   settings: process.EntrySettings,
   adapters: EntryAdapters,
--- a/packages/anvilhinge/src/entry/operators/drains_http.ts
+++ b/packages/anvilhinge/src/entry/operators/drains_http.ts
@@ -63,7 +63,7 @@
     state.isLeaving = true;
     options.publishLeaving();
     logger.info(
-      "Drained by an operator: address answers now omit this entry",
+      "An operator started a drain: address answers now omit this entry",
     );
     koa.body = {
       outcome: "accepted",
--- a/packages/anvilhinge/src/entry/operators/moves.ts
+++ b/packages/anvilhinge/src/entry/operators/moves.ts
@@ -22,8 +22,8 @@
 }
 
 /**
- * Request to hand a group over to a half. The half that now owns the group
- * cancels a pending move.
+ * Request to hand a group over to the half `to`. The half that currently owns the
+ * group cancels a pending move.
  */
 export interface MoveRequest {
   readonly group: string;
@@ -38,7 +38,7 @@
 
 export interface MoveOperations {
   start(
-    order: MoveRequest,
+    request: MoveRequest,
     options: { readonly authorization: string; readonly changeId: string },
   ): Promise<MoveAnswer>;
   /** Describes the owner of the group and what a pending move waits for. */
@@ -89,15 +89,13 @@
     record: handover.AssignmentRecord,
   ): boolean {
     const prefix = `/${record.half}/`;
-    const ownedHalfSubtrees = subtrees.filter((subtree) =>
+    const tokenSubtrees = subtrees.filter((subtree) =>
       subtree.startsWith(prefix)
     );
     const definingSubtrees = entry.catalog.listGroupSubtrees(record.group)
       .filter((subtree) => subtree.startsWith(prefix));
-    if (definingSubtrees.length === 0) return ownedHalfSubtrees.length > 0;
-    return definingSubtrees.some((subtree) =>
-      ownedHalfSubtrees.includes(subtree)
-    );
+    if (definingSubtrees.length === 0) return tokenSubtrees.length > 0;
+    return definingSubtrees.some((subtree) => tokenSubtrees.includes(subtree));
   }
 
   async function readStored(
@@ -132,7 +130,7 @@
   }
 
   async function startMove(
-    order: MoveRequest,
+    request: MoveRequest,
     options: { readonly authorization: string; readonly changeId: string },
   ): Promise<MoveAnswer> {
     const { changeId } = options;
@@ -140,10 +138,10 @@
     const forbidden = buildError(
       403,
       "forbidden",
-      `The token may not move group "${order.group}"`,
+      `The token may not move group "${request.group}"`,
     );
     if (subtrees.length === 0) return forbidden;
-    const stored = await readStored(order.group);
+    const stored = await readStored(request.group);
     if ("status" in stored) return stored;
     const { record } = stored;
     if (!isAllowed(subtrees, record)) return forbidden;
@@ -152,7 +150,7 @@
       body: { outcome: "accepted", changeId, ...describeRecord(current) },
     });
     if (record.changeIds.includes(changeId)) return buildAccepted(record);
-    const plan = handover.planMove(record, { to: order.to, changeId });
+    const plan = handover.planMove(record, { to: request.to, changeId });
     switch (plan.kind) {
       case "unchanged":
         return {
--- a/packages/anvilhinge/src/entry/operators/routed_metrics.ts
+++ b/packages/anvilhinge/src/entry/operators/routed_metrics.ts
@@ -73,7 +73,7 @@
     name: "anvilhinge_request_duration_ms",
     help: "Time from the arrival of a request to its end, in milliseconds",
   });
-  const recordTimeToFirstPart = registry.createDistribution({
+  const recordFirstPart = registry.createDistribution({
     name: "anvilhinge_first_part_ms",
     help: "Time to the first part of an answer, in milliseconds",
   });
@@ -158,9 +158,7 @@
       });
       recordDuration(Math.round(end.tookMs));
       recordSlotWait(Math.round(end.waitedMs));
-      if (end.firstMs !== undefined) {
-        recordTimeToFirstPart(Math.round(end.firstMs));
-      }
+      if (end.firstMs !== undefined) recordFirstPart(Math.round(end.firstMs));
     },
     recordRefusal: (reason) => countRefusal({ labels: { reason } }),
     recordRetry: (isTaken) =>
--- a/packages/anvilhinge/src/entry/operators/settings_change.ts
+++ b/packages/anvilhinge/src/entry/operators/settings_change.ts
@@ -83,8 +83,8 @@
   change: SettingsChange,
   stored: objectStore.StoredObject | undefined,
 ): ChangeOutcome | undefined {
-  const present = extractHistory(stored);
-  const version = ambiguousWrite.findAcceptedVersion(present, change.changeId);
+  const history = extractHistory(stored);
+  const version = ambiguousWrite.findAcceptedVersion(history, change.changeId);
   if (version === undefined) return undefined;
   const changes = record.parseRecord(stored?.value)?.changes ?? [];
   const recorded = changes.find(({ changeId }) => changeId === change.changeId);
@@ -261,11 +261,11 @@
   if (outcome.kind === "unavailable") {
     return { kind: "unknown", message: outcome.message };
   }
-  const present = extractHistory(
+  const history = extractHistory(
     outcome.kind === "found" ? outcome.object : undefined,
   );
   const version = ambiguousWrite.findAcceptedVersion(
-    present,
+    history,
     ambiguousChange.changeId,
   );
   if (version !== undefined) return { kind: "accepted", version };
--- a/packages/anvilhinge/src/entry/routed_entry.ts
+++ b/packages/anvilhinge/src/entry/routed_entry.ts
@@ -69,9 +69,9 @@
 const maxKeyAgeShare = 0.88;
 /** Shortest time for which callers cache an address answer. */
 const addressTtlMs = 1_500;
-/** Some callers cache an address answer for up to three times that time. */
+/** Some callers cache an address answer for three times as long. */
 const addressCacheFactor = 3;
-/** Part of the time limit of a stop that is reserved for closing in order. */
+/** Part of the time limit of a stop, reserved for closing servers in order. */
 const stopReserveMs = 400;
 const drainPollIntervalMs = 20;
 const maxHeaderBytes = 64 * 1024;
