--- a/packages/anvilhinge/src/entry/callers/request_checks.ts
+++ b/packages/anvilhinge/src/entry/callers/request_checks.ts
@@ -52,7 +52,7 @@
   return { kind: "error", error: { status, code, message } };
 }
 
-/** Finds the workspace requestId in the header or the query of the request. */
+/** Finds the workspace given in the header or the query of the request. */
 export function checkWorkspace(
   entry: context.EntryContext,
   koa: Koa.Context,
--- a/packages/anvilhinge/src/entry/callers/routed_http.ts
+++ b/packages/anvilhinge/src/entry/callers/routed_http.ts
@@ -294,7 +294,7 @@
 }
 
 /**
- * Computes the time without data after which an attempt that is not a stream is
+ * Computes the time without data after which an attempt without a stream is
  * stalled; a safe request is then retried at another upstream.
  */
 function computeStallMs(route: routing.Route, leftMs: number): number {
