--- a/packages/anvilhinge/src/entry/choice/addresses.ts
+++ b/packages/anvilhinge/src/entry/choice/addresses.ts
@@ -1,19 +1,20 @@
 /**
- * Which entries a workspace's callers should use. All entries of a half choose
- * the same ones, because the choice depends only on the members that they know.
+ * Selects the entries that the callers of a workspace should use. All entries of
+ * a half that have an equal list of members select the same entries, because the
+ * selection depends only on the workspace and the members.
  */
 import * as rendezvous from "@anvilhinge/coordination/rendezvous";
 import type * as random from "@anvilhinge/coordination/random";
 
-/** An entry that can be handed out. */
+/** An entry whose address callers may receive. */
 export interface EntryMember {
   readonly id: string;
-  /** Callers' address as `host:port`. */
+  /** Address for callers as `host:port`. */
   readonly address: string;
   readonly failureDomain: string;
   readonly state: "live" | "suspect" | "leaving" | "removed";
   /**
-   * Share of workspaces relative to the other entries; 0 = not ready.
+   * Share of the workspaces relative to the other entries; 0 = not ready.
    * @default 1
    */
   readonly weight?: number;
@@ -21,34 +22,34 @@
 
 export interface AddressAnswer {
   readonly addresses: readonly string[];
-  /** How long the caller may keep the answer, in milliseconds. */
+  /** Time for which the caller may use the answer, in milliseconds. */
   readonly ttlMs: number;
 }
 
 export interface AnswerOptions {
   readonly workspace: string;
   /**
-   * Address of the entry that is asked; the answer if it knows nobody.
+   * Address of the entry that answers, returned if there is no usable member.
    * Undefined while the entry leaves.
    */
   readonly ownAddress?: string;
-  /** Failure domain whose entries go first. */
+  /** Failure domain whose entries are listed first. */
   readonly nearDomain: string;
   readonly random: random.RandomSource;
   readonly ttlMs: number;
   /**
-   * How many addresses to hand out.
+   * Maximum number of addresses in the answer.
    * @default 3
    */
   readonly count?: number;
 }
 
-/** Addresses that an answer names at most. */
+/** Maximum number of addresses in an answer. */
 export const maxAddressCount = 3;
-/** Callers come back between 75% and 100% of the time to live. */
+/** Spreads the time to live over 75% to 100% so that refreshes do not coincide. */
 const jitterShare = 0.25;
 
-/** Returns live entries; suspected ones only when there are no others. */
+/** Returns the live entries, or the suspected entries if none is live. */
 function filterUsable(
   members: readonly EntryMember[],
 ): readonly EntryMember[] {
@@ -59,8 +60,8 @@
 }
 
 /**
- * Chooses the entries of a workspace: the highest scores, each in a failure
- * domain of its own as long as there are domains.
+ * Selects the entries of a workspace with the highest rendezvous scores. Each is
+ * in a different failure domain as long as there are unused domains.
  */
 export function selectEntries(
   members: readonly EntryMember[],
@@ -80,7 +81,7 @@
   return [...spread, ...others].slice(0, options.count);
 }
 
-/** Builds the answer for one workspace; leaving entries are left out. */
+/** Builds the answer for one workspace; it excludes leaving entries. */
 export function buildAddressAnswer(
   members: readonly EntryMember[],
   options: AnswerOptions,
--- a/packages/anvilhinge/src/entry/choice/addresses_test.ts
+++ b/packages/anvilhinge/src/entry/choice/addresses_test.ts
@@ -42,33 +42,40 @@
   const members = createMembers(count, domainCount);
   const before = selectAll(members);
 
-  // The places of all entries sum up to all places, so the mean share that
-  // moves is the ideal 1/n when exactly the places of the one that left move.
+  // If only the assignments of the removed entry move, the share that moves,
+  // averaged over all removals, is the ideal 1/n.
   test.each([0, 7, count - 1])(
-    "exactly the places of entry %i move when it leaves",
-    (gone) => {
-      const after = selectAll(members.filter((_, index) => index !== gone));
+    "only the assignments of entry %i move when it leaves",
+    (removedIndex) => {
+      const after = selectAll(
+        members.filter((_, index) => index !== removedIndex),
+      );
       const moved = before.flatMap((ids, index) =>
         ids.filter((id) => !after[index]!.includes(id))
       );
-      const held = before.flat().filter((id) => id === members[gone]!.id);
-      expect(moved).toEqual(held);
-      expect(held.length).toBeGreaterThan(0);
+      const assigned = before.flat().filter((id) =>
+        id === members[removedIndex]!.id
+      );
+      expect(moved).toEqual(assigned);
+      expect(assigned.length).toBeGreaterThan(0);
     },
   );
 });
 
-test("an answer has entries of different domains, the near one first", () => {
+test("an answer lists entries of different domains, the near domain first", () => {
   const members = createMembers(21, 3);
-  const { addresses: found } = addresses.buildAddressAnswer(members, options);
-  const domains = found.map((address) =>
+  const { addresses: answered } = addresses.buildAddressAnswer(
+    members,
+    options,
+  );
+  const domains = answered.map((address) =>
     members.find((member) => member.address === address)!.failureDomain
   );
   expect(domains[0]).toBe("domain-1");
   expect(new Set(domains).size).toBe(3);
 });
 
-test("leaving, removed, suspected and unready entries are left out", () => {
+test("leaving, removed, suspect and unready entries are excluded", () => {
   const members = createMembers(5, 3);
   const [live, ...others] = members;
   const changed = [
@@ -84,28 +91,28 @@
     .toEqual([others[2]!.address]);
 });
 
-test("an entry that knows nobody answers with itself", () => {
+test("without members, an entry answers with its own address", () => {
   expect(addresses.buildAddressAnswer([], options).addresses)
     .toEqual([options.ownAddress]);
 });
 
-test("an entry of half the weight gets about half the workspaces", () => {
+test("an entry with half the weight gets about half the workspaces", () => {
   const members = createMembers(10, 1).map((member, index) => ({
     ...member,
     weight: index === 0 ? 0.5 : 1,
   }));
-  const first = workspaces.filter((workspace) =>
+  const selected = workspaces.filter((workspace) =>
     addresses.selectEntries(members, { workspace, count: 1 })[0]!.id ===
       "entry-0"
   );
-  const ideal = workspaceCount * 0.5 / 9.5;
-  expect(first.length).toBeGreaterThan(0.5 * ideal);
-  expect(first.length).toBeLessThan(1.5 * ideal);
+  const expectedCount = workspaceCount * 0.5 / 9.5;
+  expect(selected.length).toBeGreaterThan(0.5 * expectedCount);
+  expect(selected.length).toBeLessThan(1.5 * expectedCount);
 });
 
-test("the time to live is spread below its limit", () => {
-  const ttls = [0, 0.5, 0.999].map((drawn) =>
-    addresses.buildAddressAnswer([], { ...options, random: () => drawn }).ttlMs
+test("the time to live has jitter below its maximum", () => {
+  const ttls = [0, 0.5, 0.999].map((randomValue) =>
+    addresses.buildAddressAnswer([], { ...options, random: () => randomValue }).ttlMs
   );
   expect(ttls).toEqual([1_000, 875, 750]);
 });
--- a/packages/anvilhinge/src/entry/choice/catalog.ts
+++ b/packages/anvilhinge/src/entry/choice/catalog.ts
@@ -1,12 +1,13 @@
 /**
- * The settings that are in force at an entry, by name: workspaces, services,
- * models and groups. Fed with settings objects; knows nothing of their origin.
+ * Catalog of the settings in force at an entry: workspaces, services, models
+ * and groups by name. It is filled with settings objects, regardless of their
+ * source.
  */
 import * as objects from "../../settings/objects.ts";
 
-/** A workspace and the path that it stands under. */
+/** The settings of a workspace and the parts of their path. */
 export interface CatalogWorkspace {
-  /** `<team>/<name>`, as callers name it. */
+  /** `<team>/<name>`, as sent by callers. */
   readonly id: string;
   readonly half: string;
   readonly team: string;
@@ -14,7 +15,7 @@
 }
 
 export interface Catalog {
-  /** Takes a valid object into force; replaces the one under the same path. */
+  /** Applies a valid object; replaces the object under the same path. */
   setObject(object: objects.SettingsObject): void;
   removeObject(path: objects.SettingsPath): void;
   findWorkspace(half: string, id: string): CatalogWorkspace | undefined;
@@ -27,29 +28,29 @@
     workspace: CatalogWorkspace,
     name: string,
   ): objects.Model | undefined;
-  /** Groups by name; the definition of the owning half goes first. */
+  /** Finds a group; the definition under the owning half takes precedence. */
   findGroup(name: string, half: string): objects.Group | undefined;
   listGroupNames(): readonly string[];
-  /** Settings paths of the groups of this name. */
+  /** Settings paths of all groups with this name. */
   listGroupPaths(name: string): readonly string[];
-  /** Subtrees that define a group, `/<half>/<team>`. */
+  /** Subtrees that define the group, as `/<half>/<team>`. */
   listGroupSubtrees(name: string): readonly string[];
-  /** Half under whose subtree a group was first defined. */
+  /** Half that defines the group; of several, the first in path order. */
   findDefiningHalf(name: string): string | undefined;
-  /** Weight of step-time skew that the half set; undefined = its default. */
+  /** Weight of step-time skew set by the half; undefined = the default. */
   findSkewWeight(half: string): number | undefined;
 }
 
 /** Creates an empty catalog. */
 export function createCatalog(): Catalog {
-  const byPath = new Map<string, objects.SettingsObject>();
+  const objectsByPath = new Map<string, objects.SettingsObject>();
   const groupPaths = new Map<string, Set<string>>();
 
-  function find(
+  function findContent(
     path: Omit<objects.SettingsPath, "half"> & { readonly half: string },
   ): objects.ObjectContent | undefined {
     const key = `/${path.half}/${path.team}/${path.kind}/${path.name}`;
-    return byPath.get(key)?.content;
+    return objectsByPath.get(key)?.content;
   }
 
   function convertWorkspace(
@@ -67,46 +68,46 @@
 
   function listGroupObjects(name: string): objects.SettingsObject[] {
     const paths = [...groupPaths.get(name) ?? []].sort();
-    return paths.flatMap((path) => byPath.get(path) ?? []);
+    return paths.flatMap((path) => objectsByPath.get(path) ?? []);
   }
 
   return {
     setObject(object) {
       const key = objects.formatSettingsPath(object.path);
-      byPath.set(key, object);
+      objectsByPath.set(key, object);
       if (object.path.kind !== "groups") return;
       const paths = groupPaths.get(object.path.name) ?? new Set();
       groupPaths.set(object.path.name, paths.add(key));
     },
     removeObject(path) {
       const key = objects.formatSettingsPath(path);
-      byPath.delete(key);
+      objectsByPath.delete(key);
       if (path.kind !== "groups") return;
       const paths = groupPaths.get(path.name);
       paths?.delete(key);
       if (paths?.size === 0) groupPaths.delete(path.name);
     },
     findWorkspace(half, id) {
-      const [team, name, ...rest] = id.split("/");
-      if (team === undefined || name === undefined || rest.length > 0) {
+      const [team, name, ...extraParts] = id.split("/");
+      if (team === undefined || name === undefined || extraParts.length > 0) {
         return undefined;
       }
-      const object = byPath.get(`/${half}/${team}/workspaces/${name}`);
+      const object = objectsByPath.get(`/${half}/${team}/workspaces/${name}`);
       return object === undefined ? undefined : convertWorkspace(object);
     },
     listWorkspaces(half) {
-      return [...byPath.values()]
+      return [...objectsByPath.values()]
         .filter((object) => object.path.half === half)
         .flatMap((object) => convertWorkspace(object) ?? []);
     },
     findService(workspace, name) {
       const { half, team } = workspace;
-      const content = find({ half, team, kind: "services", name });
+      const content = findContent({ half, team, kind: "services", name });
       return content?.kind === "services" ? content.value : undefined;
     },
     findModel(workspace, name) {
       const { half, team } = workspace;
-      const content = find({ half, team, kind: "models", name });
+      const content = findContent({ half, team, kind: "models", name });
       return content?.kind === "models" ? content.value : undefined;
     },
     findGroup(name, half) {
@@ -121,7 +122,7 @@
       listGroupObjects(name).map(({ path }) => `/${path.half}/${path.team}`),
     findDefiningHalf: (name) => listGroupObjects(name)[0]?.path.half,
     findSkewWeight(half) {
-      for (const object of byPath.values()) {
+      for (const object of objectsByPath.values()) {
         const isOwn = object.path.half === half;
         if (isOwn && object.content.kind === "weights") {
           return object.content.value.skewWeight;
--- a/packages/anvilhinge/src/entry/choice/dispatch_policy.ts
+++ b/packages/anvilhinge/src/entry/choice/dispatch_policy.ts
@@ -1,7 +1,7 @@
 /**
- * What an entry decides about work besides the course of one request: which
- * upstream, whether it is healthy, and how many retries are left. Composes the
- * parts of the coordination package and follows each request through them.
+ * Dispatch policy of one entry: selects upstreams, tracks their health, enforces
+ * workspace limits and grants retries. Composes modules of the coordination
+ * package and records the events of each request in them.
  */
 import * as health from "@anvilhinge/coordination/health";
 import type * as limits from "@anvilhinge/coordination/limits";
@@ -24,7 +24,7 @@
   /** Id of the entry. */
   readonly nodeId: string;
   readonly location: subset.Location;
-  /** Ends the watch over stalled upstreams. */
+  /** Stops the periodic check for stalled upstreams. */
   readonly signal: AbortSignal;
   readonly findLimits: workspaceLimits.WorkspaceLimitsOptions["findLimits"];
   readonly listMembers: workspaceLimits.WorkspaceLimitsOptions["listMembers"];
@@ -32,15 +32,15 @@
   readonly metrics: metrics.Metrics;
 }
 
-/** Follows one request from its arrival to its end. */
+/** Policy of one request, from its arrival to its end. */
 export interface RequestPolicy {
-  chooseUpstream(tried: ReadonlySet<string>): session.UpstreamChoice;
+  chooseUpstream(attemptedIds: ReadonlySet<string>): session.UpstreamChoice;
   takeRetry(): boolean;
   recordDispatch(upstream: session.Upstream): void;
   recordOutcome(
     observation: Extract<session.SessionEffect, { kind: "observe" }>,
   ): void;
-  /** Returns the client with each frame noted as progress of its upstream. */
+  /** Wraps the client so that each frame counts as progress of its upstream. */
   watchFrames(client: agentClient.AgentClient): agentClient.AgentClient;
   /** Must be called once, when the request is done. */
   end(): void;
@@ -48,15 +48,15 @@
 
 export interface DispatchPolicy {
   readonly upstreams: upstreams.UpstreamTable;
-  /** Admits a new request of a workspace; `end` releases it. */
+  /** Admits or refuses a new request; `RequestPolicy.end` releases it. */
   admit(workspace: string): limits.AdmitOutcome;
-  /** Follows a request; `isAdmitted` is false for one that is resumed. */
+  /** Creates a request's policy; `isAdmitted` is false for a resumed request. */
   startRequest(
     request: session.Request,
     options: { readonly need: upstreams.Need; readonly isAdmitted: boolean },
   ): RequestPolicy;
   countEjected(): number;
-  /** Retries that the budget would allow now. */
+  /** Number of retries that the budget currently permits. */
   countRetriesLeft(): number;
 }
 
@@ -65,19 +65,19 @@
   readonly sentAtMs: number;
 }
 
-const stallCheckMs = 250;
-/** Bytes of a request body that can hold the hashed part of a prompt. */
-const prefixBytes = 16 * 1024;
+const stallCheckIntervalMs = 250;
+/** Decoded part of a request body; it contains the hashed part of the prompt. */
+const maxPrefixBytes = 16 * 1024;
 
-/** Hashes the start of a chat request; requests of other kinds have none. */
+/** Hashes the start of a model request's prompt; other requests have no keys. */
 function computePrefixKeys(
   request: session.Request,
   need: upstreams.Need,
 ): readonly number[] {
   if (request.work.kind !== "model") return [];
-  const text = Buffer.from(request.work.body.subarray(0, prefixBytes))
+  const text = Buffer.from(request.work.body.subarray(0, maxPrefixBytes))
     .toString("latin1");
-  // Fields before the prompt differ between requests that share it.
+  // Fields before the prompt may differ between requests with equal prompts.
   const start = Math.max(0, text.indexOf('"messages"'));
   return prefixAffinity.computePrefixKeys(text.slice(start), {
     scope: `${need.serves}\u0000${request.workspace}`,
@@ -88,29 +88,29 @@
   const { upstreamId, cause } = change;
   return change.kind === "ejected"
     ? `Ejected upstream ${upstreamId}: ${cause}`
-    : `Took upstream ${upstreamId} back`;
+    : `Restored upstream ${upstreamId}`;
 }
 
-/** Creates the policy of one entry. */
+/** Creates the dispatch policy of one entry. */
 export function createDispatchPolicy(
   options: DispatchPolicyOptions,
 ): DispatchPolicy {
   const { scheduler: clock, random, signal } = options;
-  const countChange = options.metrics.createCounter({
+  const countHealthChange = options.metrics.createCounter({
     name: "anvilhinge_health_changes_total",
     help: "Upstreams ejected and taken back, by cause",
     labelNames: ["kind", "cause"],
   });
-  const checked = health.createHealth({
+  const upstreamHealth = health.createHealth({
     clock,
     random,
     onChange(change) {
       const { kind, cause } = change;
-      countChange({ labels: { kind, cause } });
+      countHealthChange({ labels: { kind, cause } });
       options.logger.info(describeHealthChange(change));
     },
   });
-  const countLimited = options.metrics.createCounter({
+  const countRefusal = options.metrics.createCounter({
     name: "anvilhinge_limited_total",
     help: "Requests refused by a limit of their workspace",
     labelNames: ["limit"],
@@ -127,14 +127,14 @@
     random,
     nodeId: options.nodeId,
     location: options.location,
-    health: checked,
+    health: upstreamHealth,
   });
 
   function checkStalls(): void {
     for (const upstreamId of watch.detectStalled()) {
-      checked.recordStall(upstreamId);
+      upstreamHealth.recordStall(upstreamId);
     }
-    clock.schedule(checkStalls, { delayMs: stallCheckMs, signal });
+    clock.schedule(checkStalls, { delayMs: stallCheckIntervalMs, signal });
   }
 
   function startRequest(
@@ -146,16 +146,20 @@
   ): RequestPolicy {
     const prefixKeys = computePrefixKeys(request, need);
     const isWatched = need.kind === "model";
-    let open: OpenAttempt | undefined;
+    let current: OpenAttempt | undefined;
     let isEngineDown = false;
     budget.recordRequest();
 
     function endAttempt(outcome: Omit<upstreams.Outcome, "sentAtMs">): void {
-      if (open === undefined) return;
-      const { upstreamId, sentAtMs } = open;
-      open = undefined;
+      if (current === undefined) return;
+      const { upstreamId, sentAtMs } = current;
+      current = undefined;
       if (isWatched) watch.end(upstreamId);
-      table.recordOutcome(upstreamId, { ...outcome, sentAtMs, prefixKeys });
+      table.recordOutcome(upstreamId, {
+        ...outcome,
+        sentAtMs,
+        prefixKeys,
+      });
     }
 
     function watchStream(
@@ -164,9 +168,9 @@
       return {
         ...stream,
         onFrame(frame) {
-          if (open !== undefined) watch.recordProgress(open.upstreamId);
+          if (current !== undefined) watch.recordProgress(current.upstreamId);
           const { body } = frame;
-          // The agent lives and its engine does not: no sign of health.
+          // The agent is up but its engine is not: the attempt counts as failed.
           isEngineDown = body.kind === "refused" &&
             body.reason === "engine_unavailable";
           if (isWatched && frame.body.kind === "chunk") {
@@ -178,25 +182,25 @@
     }
 
     return {
-      chooseUpstream: (tried) =>
+      chooseUpstream: (attemptedIds) =>
         table.choose(need, {
-          tried,
+          tried: attemptedIds,
           prefixKeys,
           leftMs: request.deadlineAtMs - clock.now(),
         }),
       takeRetry: budget.take,
       recordDispatch(upstream) {
         endAttempt({ kind: "abandoned" });
-        open = { upstreamId: upstream.id, sentAtMs: clock.now() };
+        current = { upstreamId: upstream.id, sentAtMs: clock.now() };
         if (isWatched) watch.start(upstream.id, upstreams.formatPoolName(need));
         table.recordDispatch(upstream.id);
       },
       recordOutcome({ upstream, outcome, load }) {
-        if (open?.upstreamId === upstream.id) {
+        if (current?.upstreamId === upstream.id) {
           endAttempt({ kind: isEngineDown ? "failed" : outcome, load });
           return;
         }
-        // A resumed answer: another entry dispatched the attempt.
+        // The answer was resumed: another entry dispatched the attempt.
         table.recordOutcome(upstream.id, { kind: outcome, load });
       },
       watchFrames: (client) => ({
@@ -217,12 +221,12 @@
     admit(workspace) {
       const outcome = workspaces.admit(workspace);
       if (outcome.kind === "refused") {
-        countLimited({ labels: { limit: outcome.limit } });
+        countRefusal({ labels: { limit: outcome.limit } });
       }
       return outcome;
     },
     startRequest,
-    countEjected: checked.countEjected,
+    countEjected: upstreamHealth.countEjected,
     countRetriesLeft: budget.count,
   };
 }
--- a/packages/anvilhinge/src/entry/choice/routed_policy.ts
+++ b/packages/anvilhinge/src/entry/choice/routed_policy.ts
@@ -1,7 +1,7 @@
 /**
- * What an entry decides about requests of routed services besides the course
- * of one request: at which upstream there is a place, and whether another try
- * is within the budget.
+ * Dispatch policy of one entry for requests of routed services: assigns a slot of
+ * an upstream to each request and decides whether the retry budget permits
+ * another attempt. A slot is a unit of an upstream's concurrency.
  */
 import type * as workHub from "@anvilhinge/coordination/dispatch/work_hub";
 import type * as work from "@anvilhinge/coordination/dispatch/work";
@@ -18,7 +18,7 @@
 import type * as session from "../session/session.ts";
 import * as slotCoordinator from "./slot_coordinator.ts";
 
-/** A request that needs an upstream. */
+/** A request of a routed service that needs an upstream. */
 export interface RoutedRequest {
   readonly requestId: string;
   readonly service: string;
@@ -29,43 +29,43 @@
   readonly deadlineAtMs: number;
 }
 
-/** Called when a request that waits is decided. */
+/** Called with the decision about a request that waits for a slot. */
 export type DecisionHandler = (
   event: Extract<session.SessionEvent, { kind: "granted" | "denied" }>,
 ) => void;
 
-/** Follows one request from its arrival to its end. */
+/** Policy of one request, from its arrival to its end. */
 export interface RoutedRequestPolicy {
-  chooseUpstream(tried: ReadonlySet<string>): session.UpstreamChoice;
+  chooseUpstream(attemptedIds: ReadonlySet<string>): session.UpstreamChoice;
   takeRetry(): boolean;
   recordDispatch(upstream: session.Upstream): void;
   recordOutcome(
     observation: Extract<session.SessionEffect, { kind: "observe" }>,
   ): void;
-  /** Records a pause between two events of the answer, in milliseconds. */
-  recordPause(pauseMs: number): void;
-  /** What was decided for the request, for its log line. */
+  /** Records a gap between two events of the answer, in milliseconds. */
+  recordPause(gapMs: number): void;
+  /** Returns the attempts and the wait of the request, for its log line. */
   describe(): DispatchRecord;
   /** Must be called once, when the request is done. */
   end(): void;
 }
 
-/** One sending of a request; times in milliseconds after its arrival. */
+/** One attempt of a request; its times are milliseconds since the arrival. */
 export interface AttemptRecord {
   readonly upstream: string;
   readonly sentMs: number;
-  /** Undefined while it runs; so is the outcome. */
+  /** Undefined while the attempt runs, as is the outcome. */
   endedMs?: number;
   outcome?: string;
 }
 
-/** What was decided for one request. */
+/** How one request was dispatched: its attempts and its wait for slots. */
 export interface DispatchRecord {
-  /** In order of sending. */
+  /** In order of dispatch. */
   readonly attempts: readonly AttemptRecord[];
-  /** Who decided last. */
+  /** Source of the last slot decision: the hub or the entry's own share. */
   readonly decidedBy?: string;
-  /** Time that it waited for places, in milliseconds. */
+  /** Total time that the request waited for slots, in milliseconds. */
   readonly waitedMs: number;
 }
 
@@ -73,7 +73,7 @@
   setRouting(settings: routing.RoutingSettings): void;
   setUpstreams(upstreams: readonly routing.ListedUpstream[]): void;
   startRequest(
-    work: RoutedRequest,
+    request: RoutedRequest,
     decide: DecisionHandler,
   ): RoutedRequestPolicy;
   handleMessage(message: slotCoordinator.DispatchMessage, from: string): void;
@@ -81,11 +81,11 @@
   describePools(): readonly workHub.PoolLoad[];
 }
 
-/** Bound on retries over all entries; each uses an equal part. */
+/** Limit on the retries of all entries; each entry uses an equal part. */
 export interface RetryLimits {
-  /** Retries for each request. */
+  /** Retries per request. */
   readonly share: number;
-  /** Retries in each window besides the share. */
+  /** Retries per window in addition to the share. */
   readonly extra: number;
   readonly windowMs: number;
 }
@@ -106,13 +106,13 @@
   readonly signal: AbortSignal;
 }
 
-interface Known {
+interface TrackedUpstream {
   readonly listed: routing.ListedUpstream;
   readonly upstream: session.Upstream;
-  open: number;
+  openAttempts: number;
 }
 
-interface Asking {
+interface PendingSlotRequest {
   readonly decide: (
     event: Parameters<DecisionHandler>[0],
     by: workClient.WorkEvent["by"],
@@ -121,26 +121,33 @@
 
 const noUpstreamRetryMs = 1_000;
 const maxEjectedShare = 0.5;
-/** Part of the retry budget that is used, since entries count apart. */
+/**
+ * Used part of the retry budget. The remainder is a margin, because the entries
+ * count their retries separately.
+ */
 const usedBudgetShare = 0.8;
 const millisecondsPerSecond = 1_000;
-/** Part of the longest pause that a pass may take; the rest is the way. */
+/**
+ * Part of the gap target that a forward pass may take. The remainder covers the
+ * network latency.
+ */
 const passShareOfGap = 0.93;
 
-/** Creates a policy that knows no upstreams. */
+/** Creates a policy without upstreams. */
 export function createRoutedPolicy(
   options: RoutedPolicyOptions,
 ): RoutedPolicy {
   const { scheduler: clock, retries } = options;
-  const known = new Map<string, Known>();
+  const tracked = new Map<string, TrackedUpstream>();
   const services = new Map<string, routing.ServiceSpec>();
   let routes: readonly routing.Route[] = [];
-  /** Requests that wait for a place, by the key under which they asked. */
-  const asking = new Map<string, Asking>();
-  const checked = health.createHealth({
+  /** Requests that wait for a slot, by the key of their slot request. */
+  const pending = new Map<string, PendingSlotRequest>();
+  const upstreamHealth = health.createHealth({
     clock,
     random: options.random,
-    onChange: (change) => options.logger.info("Upstream health", { change }),
+    onChange: (change) =>
+      options.logger.info("Upstream health changed", { change }),
   });
   const windowSeconds = retries.windowMs / millisecondsPerSecond;
   const budget = retryBudget.createRetryBudget({
@@ -150,7 +157,7 @@
     minPerSecond: usedBudgetShare * retries.extra / 2 / windowSeconds,
     readFraction: () => 1 / Math.max(1, options.members.countEntries()),
   });
-  const dispatch = slotCoordinator.startSlotCoordinator({
+  const slots = slotCoordinator.startSlotCoordinator({
     entryId: options.entryId,
     failureDomain: options.failureDomain,
     members: options.members,
@@ -163,55 +170,57 @@
   });
 
   function handleEvent(event: workClient.WorkEvent): void {
-    const found = asking.get(event.key);
-    if (found === undefined) return;
-    asking.delete(event.key);
+    const request = pending.get(event.key);
+    if (request === undefined) return;
+    pending.delete(event.key);
     options.metrics.recordDecision(event.by, event.kind);
     if (event.kind === "denied") {
       const reason = `No place is expected soon (said by the ${event.by})`;
       const { retryAfterMs } = event;
-      return found.decide({ kind: "denied", reason, retryAfterMs }, event.by);
+      return request.decide({ kind: "denied", reason, retryAfterMs }, event.by);
     }
-    const granted = known.get(event.upstreamId);
+    const granted = tracked.get(event.upstreamId);
     if (granted === undefined) {
-      dispatch.drop(event.key);
+      slots.drop(event.key);
       const reason = `Upstream ${event.upstreamId} has gone`;
       const denied = { kind: "denied", reason, retryAfterMs: 0 } as const;
-      return found.decide(denied, event.by);
+      return request.decide(denied, event.by);
     }
     const { upstream } = granted;
-    found.decide({ kind: "granted", upstream }, event.by);
+    request.decide({ kind: "granted", upstream }, event.by);
   }
 
-  function listUsable(service: string): readonly Known[] {
-    return [...known.values()].filter(({ listed }) =>
+  function listUsable(service: string): readonly TrackedUpstream[] {
+    return [...tracked.values()].filter(({ listed }) =>
       listed.service === service && listed.state === "serving"
     );
   }
 
-  /** Pauses that the routes of a service allow, in milliseconds. */
-  function findGapTarget(service: string): number {
+  /** Finds the lowest gap target of the routes to a service, in milliseconds. */
+  function findGapTargetMs(service: string): number {
     const targets = routes
-      .filter((route) => route.targets.some((to) => to.service === service))
+      .filter((route) =>
+        route.targets.some((target) => target.service === service)
+      )
       .flatMap(({ gapTargetMs }) => gapTargetMs ?? []);
     return Math.min(Infinity, ...targets);
   }
 
   function listPools(): readonly work.PoolSpec[] {
     return [...services.values()].flatMap(({ name, engine }) => {
-      const gapMs = findGapTarget(name);
-      if (engine === undefined || gapMs === Infinity) return [];
+      const gapTargetMs = findGapTargetMs(name);
+      if (engine === undefined || gapTargetMs === Infinity) return [];
       return [{
         pool: name,
         basePassMs: engine.stepsPerPass * engine.stepMs,
-        targetPassMs: passShareOfGap * gapMs,
+        targetPassMs: passShareOfGap * gapTargetMs,
       }];
     });
   }
 
-  function updatePlaces(): void {
-    dispatch.setUpstreams(
-      [...known.values()]
+  function updateSlots(): void {
+    slots.setUpstreams(
+      [...tracked.values()]
         .filter(({ listed }) =>
           listed.state === "serving" &&
           services.get(listed.service)?.engine !== undefined
@@ -226,20 +235,27 @@
     );
   }
 
-  /** Chooses by this entry's own load, for services without engines. */
+  /**
+   * Chooses the upstream with the fewest open attempts of this entry, for services
+   * without engines.
+   */
   function chooseLeastLoaded(
     service: string,
-    tried: ReadonlySet<string>,
+    attemptedIds: ReadonlySet<string>,
   ): session.UpstreamChoice {
     const usable = listUsable(service).filter(({ listed }) =>
-      !tried.has(listed.id)
+      !attemptedIds.has(listed.id)
     );
     const healthy = usable.filter(({ listed }) =>
-      checked.isAvailable(listed.id)
+      upstreamHealth.isAvailable(listed.id)
     );
     const candidates = healthy.length > 0 ? healthy : usable;
-    const least = Math.min(...candidates.map((one) => one.open));
-    const best = candidates.filter((one) => one.open === least);
+    const least = Math.min(
+      ...candidates.map((candidate) => candidate.openAttempts),
+    );
+    const best = candidates.filter((candidate) =>
+      candidate.openAttempts === least
+    );
     const chosen = best[Math.floor(options.random() * best.length)];
     if (chosen === undefined) {
       const reason = `No upstream of service ${service} is left`;
@@ -249,88 +265,90 @@
   }
 
   function startRequest(
-    work: RoutedRequest,
+    request: RoutedRequest,
     decide: DecisionHandler,
   ): RoutedRequestPolicy {
-    const engine = services.get(work.service)?.engine;
+    const engine = services.get(request.service)?.engine;
     const arrivedAtMs = clock.now();
-    let asked = 0;
-    let open: Known | undefined;
-    /** Key under which the request waits for a place. */
+    let slotRequestCount = 0;
+    let current: TrackedUpstream | undefined;
+    /** Key of the pending slot request. */
     let waitingKey: string | undefined;
-    /** Key under which its present attempt occupies one. */
+    /** Key of the slot that the current attempt occupies. */
     let runningKey: string | undefined;
     const attempts: AttemptRecord[] = [];
     let decidedBy: string | undefined;
     let waitedMs = 0;
     budget.recordRequest();
 
-    function measureAge(): number {
+    function measureElapsed(): number {
       return Math.round(clock.now() - arrivedAtMs);
     }
 
-    /** Gives the place of the present attempt back. */
+    /** Releases the slot of the current attempt. */
     function releaseAttempt(): void {
-      if (open !== undefined) open.open -= 1;
-      open = undefined;
-      if (runningKey !== undefined) dispatch.drop(runningKey);
+      if (current !== undefined) current.openAttempts -= 1;
+      current = undefined;
+      if (runningKey !== undefined) slots.drop(runningKey);
       runningKey = undefined;
     }
 
-    function withdrawAsking(): void {
+    function withdrawSlotRequest(): void {
       if (waitingKey === undefined) return;
-      asking.delete(waitingKey);
-      dispatch.drop(waitingKey);
+      pending.delete(waitingKey);
+      slots.drop(waitingKey);
       waitingKey = undefined;
     }
 
-    function askForPlace(tried: ReadonlySet<string>): session.UpstreamChoice {
-      const usable = listUsable(work.service);
-      if (usable.every(({ listed }) => tried.has(listed.id))) {
-        const reason = `No upstream of service ${work.service} is left`;
+    function requestSlot(
+      attemptedIds: ReadonlySet<string>,
+    ): session.UpstreamChoice {
+      const usable = listUsable(request.service);
+      if (usable.every(({ listed }) => attemptedIds.has(listed.id))) {
+        const reason = `No upstream of service ${request.service} is left`;
         return { kind: "none", reason, retryAfterMs: noUpstreamRetryMs };
       }
-      asked += 1;
-      const key = `${work.requestId}/${asked}`;
+      slotRequestCount += 1;
+      const key = `${request.requestId}/${slotRequestCount}`;
       waitingKey = key;
       const ejected = usable.map(({ listed }) => listed.id)
-        .filter((id) => !checked.isAvailable(id));
+        .filter((id) => !upstreamHealth.isAvailable(id));
       const nowMs = clock.now();
-      asking.set(key, {
+      pending.set(key, {
         decide(event, by) {
           decidedBy = by;
           waitedMs += clock.now() - nowMs;
           decide(event);
         },
       });
-      dispatch.requestSlot({
+      slots.requestSlot({
         key,
-        pool: work.service,
-        priority: work.priority,
-        workspace: work.workspace,
-        promptTokens: work.size?.promptTokens ?? 0,
-        answerTokens: work.size?.answerTokensHint ??
-          work.size?.maxAnswerTokens ?? 0,
-        aimLeftMs: work.route.latencyTargetMs - (nowMs - arrivedAtMs),
-        leftMs: work.deadlineAtMs - nowMs,
-        avoided: [...tried, ...ejected],
+        pool: request.service,
+        priority: request.priority,
+        workspace: request.workspace,
+        promptTokens: request.size?.promptTokens ?? 0,
+        answerTokens: request.size?.answerTokensHint ??
+          request.size?.maxAnswerTokens ?? 0,
+        aimLeftMs: request.route.latencyTargetMs - (nowMs - arrivedAtMs),
+        leftMs: request.deadlineAtMs - nowMs,
+        avoided: [...attemptedIds, ...ejected],
       });
       return { kind: "wait" };
     }
 
     return {
-      chooseUpstream: (tried) =>
+      chooseUpstream: (attemptedIds) =>
         engine === undefined
-          ? chooseLeastLoaded(work.service, tried)
-          : askForPlace(tried),
+          ? chooseLeastLoaded(request.service, attemptedIds)
+          : requestSlot(attemptedIds),
       takeRetry() {
         const isTaken = budget.take();
         options.metrics.recordRetry(isTaken);
         return isTaken;
       },
-      recordPause(pauseMs) {
+      recordPause(gapMs) {
         if (engine !== undefined) {
-          dispatch.recordPause(work.service, pauseMs);
+          slots.recordPause(request.service, gapMs);
         }
       },
       describe: () => ({
@@ -339,33 +357,33 @@
         waitedMs: Math.round(waitedMs),
       }),
       recordDispatch(upstream) {
-        attempts.push({ upstream: upstream.id, sentMs: measureAge() });
-        open = known.get(upstream.id);
-        if (open !== undefined) open.open += 1;
-        checked.recordSent(upstream.id);
+        attempts.push({ upstream: upstream.id, sentMs: measureElapsed() });
+        current = tracked.get(upstream.id);
+        if (current !== undefined) current.openAttempts += 1;
+        upstreamHealth.recordSent(upstream.id);
         runningKey = waitingKey;
         waitingKey = undefined;
         if (runningKey === undefined) return;
-        dispatch.recordStart({
+        slots.recordStart({
           key: runningKey,
           upstreamId: upstream.id,
-          workspace: work.workspace,
-          promptTokens: work.size?.promptTokens ?? 0,
+          workspace: request.workspace,
+          promptTokens: request.size?.promptTokens ?? 0,
         });
       },
       recordOutcome({ upstream, outcome }) {
-        // The next attempt may wait already.
+        // Only the ended attempt is released: the next may already wait for a slot.
         releaseAttempt();
         const last = attempts.at(-1);
         if (last !== undefined) {
-          last.endedMs = measureAge();
+          last.endedMs = measureElapsed();
           last.outcome = outcome;
         }
-        checked.recordOutcome(upstream.id, outcome);
+        upstreamHealth.recordOutcome(upstream.id, outcome);
       },
       end() {
         releaseAttempt();
-        withdrawAsking();
+        withdrawSlotRequest();
       },
     };
   }
@@ -375,13 +393,13 @@
       services.clear();
       for (const spec of settings.services) services.set(spec.name, spec);
       routes = settings.routes;
-      updatePlaces();
+      updateSlots();
     },
-    setUpstreams(all) {
-      const upstreams = dropSuperseded(all);
+    setUpstreams(listedUpstreams) {
+      const upstreams = dropSuperseded(listedUpstreams);
       const listedIds = new Set(upstreams.map(({ id }) => id));
-      for (const id of [...known.keys()]) {
-        if (!listedIds.has(id)) known.delete(id);
+      for (const id of [...tracked.keys()]) {
+        if (!listedIds.has(id)) tracked.delete(id);
       }
       const pools = new Map<string, string[]>();
       for (const listed of upstreams) {
@@ -395,32 +413,36 @@
           half: "",
           epoch: 0,
         };
-        known.set(id, { listed, upstream, open: known.get(id)?.open ?? 0 });
+        tracked.set(id, {
+          listed,
+          upstream,
+          openAttempts: tracked.get(id)?.openAttempts ?? 0,
+        });
       }
       for (const [service, members] of pools) {
-        checked.setPool(service, { members, maxEjectedShare });
+        upstreamHealth.setPool(service, { members, maxEjectedShare });
       }
-      updatePlaces();
+      updateSlots();
     },
     startRequest,
-    handleMessage: dispatch.handle,
+    handleMessage: slots.handle,
     countRetriesLeft: budget.count,
-    describePools: dispatch.describe,
+    describePools: slots.describe,
   };
 }
 
 /**
- * Leaves out upstreams whose address a later one has: entries of upstreams that
- * crashed stay in the list until they lapse.
+ * Excludes upstreams whose address belongs to a more recently started upstream:
+ * the records of crashed upstreams stay in the list until they expire.
  */
 function dropSuperseded(
   upstreams: readonly routing.ListedUpstream[],
 ): readonly routing.ListedUpstream[] {
   const latest = new Map<string, routing.ListedUpstream>();
   for (const upstream of upstreams) {
-    const known = latest.get(upstream.address);
-    const isLater = known === undefined ||
-      (upstream.startedAtMs ?? 0) > (known.startedAtMs ?? 0);
+    const previous = latest.get(upstream.address);
+    const isLater = previous === undefined ||
+      (upstream.startedAtMs ?? 0) > (previous.startedAtMs ?? 0);
     if (isLater) latest.set(upstream.address, upstream);
   }
   return [...latest.values()];
--- a/packages/anvilhinge/src/entry/choice/routed_policy_test.ts
+++ b/packages/anvilhinge/src/entry/choice/routed_policy_test.ts
@@ -101,8 +101,8 @@
   policy.setUpstreams(upstreams);
 
   function start(requestId: string, service = "models") {
-    const decided: string[] = [];
-    const places = policy.startRequest({
+    const decisions: string[] = [];
+    const requestPolicy = policy.startRequest({
       requestId,
       service,
       route: createRoute(service),
@@ -111,11 +111,11 @@
       size: undefined,
       deadlineAtMs: scheduler.now() + 8_000,
     }, (event) => {
-      if (event.kind === "denied") return void decided.push("denied");
-      decided.push(event.upstream.id);
-      places.recordDispatch(event.upstream);
+      if (event.kind === "denied") return void decisions.push("denied");
+      decisions.push(event.upstream.id);
+      requestPolicy.recordDispatch(event.upstream);
     });
-    return { places, decided };
+    return { requestPolicy, decisions };
   }
 
   return { policy, scheduler, start };
@@ -125,96 +125,97 @@
   return { id, group: "", rank: 0, address: "", half: "", epoch: 0 };
 }
 
-test("the next attempt may ask before the last one is told to have ended", () => {
+test("the next attempt may request a slot before the last outcome is recorded", () => {
   const { scheduler, start } = createPolicy([
     createListed("u1"),
     createListed("u2"),
   ]);
-  const { places, decided } = start("r1");
-  places.chooseUpstream(new Set());
+  const { requestPolicy, decisions } = start("r1");
+  requestPolicy.chooseUpstream(new Set());
   scheduler.advance(5);
-  const [first] = decided;
-  // The session asks anew while it handles the refusal, then reports it.
-  places.chooseUpstream(new Set([first!]));
-  places.recordOutcome({
+  const [first] = decisions;
+  // The session requests the next slot while it handles the refusal. Only then
+  // does it record the outcome of the refused attempt.
+  requestPolicy.chooseUpstream(new Set([first!]));
+  requestPolicy.recordOutcome({
     kind: "observe",
     upstream: createUpstream(first!),
     outcome: "refused",
   });
   scheduler.advance(5);
-  expect(decided).toHaveLength(2);
-  expect(decided[1]).not.toBe(first);
+  expect(decisions).toHaveLength(2);
+  expect(decisions[1]).not.toBe(first);
 });
 
-test("a place is free again when its request ends", () => {
+test("a slot is released when its request ends", () => {
   const { scheduler, start } = createPolicy([createListed("u1")]);
   const first = start("r1");
-  first.places.chooseUpstream(new Set());
+  first.requestPolicy.chooseUpstream(new Set());
   scheduler.advance(5);
   const second = start("r2");
-  second.places.chooseUpstream(new Set());
+  second.requestPolicy.chooseUpstream(new Set());
   scheduler.advance(50);
-  expect([first.decided, second.decided]).toEqual([["u1"], []]);
-  first.places.end();
+  expect([first.decisions, second.decisions]).toEqual([["u1"], []]);
+  first.requestPolicy.end();
   scheduler.advance(5);
-  expect(second.decided).toEqual(["u1"]);
+  expect(second.decisions).toEqual(["u1"]);
 });
 
-test("a request that ends while it waits leaves the queue", () => {
+test("a request that ends while it waits is removed from the queue", () => {
   const { scheduler, start } = createPolicy([createListed("u1")]);
-  start("r1").places.chooseUpstream(new Set());
+  start("r1").requestPolicy.chooseUpstream(new Set());
   scheduler.advance(5);
-  const gone = start("r2");
-  gone.places.chooseUpstream(new Set());
-  gone.places.end();
+  const ended = start("r2");
+  ended.requestPolicy.chooseUpstream(new Set());
+  ended.requestPolicy.end();
   scheduler.advance(3_000);
-  expect(gone.decided).toEqual([]);
+  expect(ended.decisions).toEqual([]);
 });
 
-test("of two upstreams with one address only the later one is used", () => {
+test("of two upstreams with equal addresses only the later is used", () => {
   const { scheduler, start } = createPolicy([
     createListed("u1", { address: "10.0.0.1:7", startedAtMs: 5 }),
     createListed("u2", { address: "10.0.0.1:7", startedAtMs: 9 }),
   ]);
-  const one = start("r1");
-  const other = start("r2");
-  one.places.chooseUpstream(new Set());
-  other.places.chooseUpstream(new Set());
+  const first = start("r1");
+  const second = start("r2");
+  first.requestPolicy.chooseUpstream(new Set());
+  second.requestPolicy.chooseUpstream(new Set());
   scheduler.advance(5);
-  expect([one.decided, other.decided]).toEqual([["u2"], []]);
+  expect([first.decisions, second.decisions]).toEqual([["u2"], []]);
 });
 
-test("requests of plain services go where this entry has least", () => {
+test("without an engine, requests go to the upstream with the fewest attempts", () => {
   const { start } = createPolicy([
     createListed("u1", { service: "registry" }),
     createListed("u2", { service: "registry" }),
   ]);
   const chosen = ["r1", "r2"].map((id) => {
-    const { places } = start(id, "registry");
-    const choice = places.chooseUpstream(new Set());
+    const { requestPolicy } = start(id, "registry");
+    const choice = requestPolicy.chooseUpstream(new Set());
     if (choice.kind !== "chosen") throw new Error(choice.kind);
-    places.recordDispatch(choice.upstream);
+    requestPolicy.recordDispatch(choice.upstream);
     return choice.upstream.id;
   });
   expect([...chosen].sort()).toEqual(["u1", "u2"]);
 });
 
-test("an upstream that leaves gets nothing new", () => {
+test("a leaving upstream gets no new requests", () => {
   const { policy, start } = createPolicy([
     createListed("u1", { service: "registry" }),
   ]);
   policy.setUpstreams([
     createListed("u1", { service: "registry", state: "leaving" }),
   ]);
-  const { places } = start("r1", "registry");
-  expect(places.chooseUpstream(new Set()).kind).toBe("none");
+  const { requestPolicy } = start("r1", "registry");
+  expect(requestPolicy.chooseUpstream(new Set()).kind).toBe("none");
 });
 
-test("retries are bounded by this entry's part of the budget", () => {
+test("retries are limited to this entry's share of the budget", () => {
   const { start } = createPolicy([createListed("u1")]);
-  const { places } = start("r1");
+  const { requestPolicy } = start("r1");
   let taken = 0;
-  while (places.takeRetry()) taken += 1;
+  while (requestPolicy.takeRetry()) taken += 1;
   expect(taken).toBeGreaterThan(0);
   expect(taken).toBeLessThanOrEqual(10);
 });
--- a/packages/anvilhinge/src/entry/choice/slot_coordinator.ts
+++ b/packages/anvilhinge/src/entry/choice/slot_coordinator.ts
@@ -1,7 +1,8 @@
 /**
- * The entry's way to places at upstreams with engines: asks the hub over
- * datagrams, is the hub itself when its turn comes, and goes by its own share
- * while no hub answers.
+ * Obtains slots of upstreams with engines for the requests of one entry. The hub
+ * is the entry that assigns slots for all entries. This entry requests slots
+ * from the hub over datagrams, or acts as the hub itself. While no hub answers,
+ * it uses its own share of the slots.
  */
 import type * as random from "@anvilhinge/coordination/random";
 import type * as work from "@anvilhinge/coordination/dispatch/work";
@@ -11,7 +12,7 @@
 import type * as scheduler from "../../ports/scheduler.ts";
 import type * as logger from "../../telemetry/logger.ts";
 
-/** Where the hub is and who shares the places. */
+/** The hub, and the number of entries that share the slots. */
 export interface EntryMembership {
   getHub(): { readonly id: string; readonly address: string };
   isHub(): boolean;
@@ -36,26 +37,29 @@
 
 export interface SlotCoordinator {
   setUpstreams(
-    places: readonly work.UpstreamSpec[],
-    specs: readonly work.PoolSpec[],
+    upstreams: readonly work.UpstreamSpec[],
+    pools: readonly work.PoolSpec[],
   ): void;
-  recordPause(pool: string, pauseMs: number): void;
-  requestSlot(asked: workClient.SlotRequest): void;
-  recordStart(running: work.RunningRequest): void;
+  recordPause(pool: string, gapMs: number): void;
+  requestSlot(request: workClient.SlotRequest): void;
+  recordStart(request: work.RunningRequest): void;
   drop(key: string): void;
   handle(message: DispatchMessage, from: string): void;
   describe(): readonly workHub.PoolLoad[];
 }
 
-/** Time between two states while a request waits. */
+/** Interval between states sent to the hub while a request waits for a slot. */
 const waitingIntervalMs = 25;
-/** Time between two states otherwise. */
+/** Interval between states sent to the hub while no request waits. */
 const idleIntervalMs = 250;
-const showIntervalMs = 1_000;
-/** Time in which a new hub learns what runs before it decides. */
-const learningMs = 300;
+const logIntervalMs = 1_000;
+/**
+ * Time for which a new hub only collects states of the entries. It assigns no
+ * slots before, because it does not know which slots are in use.
+ */
+const hubWarmUpMs = 300;
 
-/** Starts the dispatch of one entry. */
+/** Starts the coordinator of one entry. */
 export function startSlotCoordinator(
   options: SlotCoordinatorOptions,
 ): SlotCoordinator {
@@ -71,30 +75,30 @@
     clock: scheduler,
     random: options.random,
   });
-  /** Addresses of the entries that sent their states, by id. */
+  /** Addresses of the entries that sent their state to this hub, by id. */
   const addresses = new Map<string, string>();
   let hubSinceMs: number | undefined;
-  let shownAtMs = -Infinity;
-  let isReportDue = false;
-  let sentAtMs = -Infinity;
+  let loggedAtMs = -Infinity;
+  let isReportScheduled = false;
+  let stateSentAtMs = -Infinity;
 
   function emit(events: readonly workClient.WorkEvent[]): void {
     for (const event of events) options.onEvent(event);
   }
 
-  /** Whether this entry is the hub and knows enough to decide. */
-  function isDeciding(): boolean {
+  /** Whether this entry is the hub and its warm-up is over. */
+  function isActiveHub(): boolean {
     if (!members.isHub()) {
       hubSinceMs = undefined;
       return false;
     }
     hubSinceMs ??= scheduler.now();
-    const hasLearnt = scheduler.now() - hubSinceMs >= learningMs;
-    return hasLearnt || members.countEntries() === 1;
+    const hasWarmedUp = scheduler.now() - hubSinceMs >= hubWarmUpMs;
+    return hasWarmedUp || members.countEntries() === 1;
   }
 
-  function deliver(decided: ReadonlyMap<string, work.Decisions>): void {
-    for (const [entryId, decisions] of decided) {
+  function deliver(byEntry: ReadonlyMap<string, work.Decisions>): void {
+    for (const [entryId, decisions] of byEntry) {
       if (entryId === options.entryId) {
         emit(client.receive(decisions));
         continue;
@@ -105,53 +109,53 @@
     }
   }
 
-  function report(): void {
-    isReportDue = false;
-    sentAtMs = scheduler.now();
+  function reportState(): void {
+    isReportScheduled = false;
+    stateSentAtMs = scheduler.now();
     const state = client.buildState();
-    if (isDeciding()) return deliver(hub.receive(state));
+    if (isActiveHub()) return deliver(hub.receive(state));
     if (members.isHub()) return;
     const message: DispatchMessage = { kind: "work", state };
     options.sockets.send(message, members.getHub().address);
   }
 
-  /** Reports soon, so that changes of one moment travel together. */
+  /** Reports after the pending callbacks, so that their changes share a message. */
   function scheduleReport(): void {
-    if (isReportDue) return;
-    isReportDue = true;
-    scheduler.schedule(report, { delayMs: 0, signal });
+    if (isReportScheduled) return;
+    isReportScheduled = true;
+    scheduler.schedule(reportState, { delayMs: 0, signal });
   }
 
-  /** Logs what the hub knows, for whoever asks why requests were refused. */
-  function showLoad(): void {
-    if (!isDeciding() || scheduler.now() - shownAtMs < showIntervalMs) return;
-    shownAtMs = scheduler.now();
+  /** Logs the load seen by the hub, which explains why requests were refused. */
+  function logLoad(): void {
+    if (!isActiveHub() || scheduler.now() - loggedAtMs < logIntervalMs) return;
+    loggedAtMs = scheduler.now();
     options.logger.info("Load of the pools", { pools: hub.describe() });
   }
 
   function tick(): void {
-    showLoad();
+    logLoad();
     emit(client.tick());
     const isWaiting = client.hasWaiting();
-    const interval = isWaiting ? waitingIntervalMs : idleIntervalMs;
-    if (scheduler.now() - sentAtMs >= interval) report();
-    if (isDeciding()) deliver(hub.decide());
+    const intervalMs = isWaiting ? waitingIntervalMs : idleIntervalMs;
+    if (scheduler.now() - stateSentAtMs >= intervalMs) reportState();
+    if (isActiveHub()) deliver(hub.decide());
     scheduler.schedule(tick, { delayMs: waitingIntervalMs, signal });
   }
 
   tick();
   return {
-    setUpstreams(places, specs) {
-      client.setUpstreams(places);
-      hub.setUpstreams(places, specs);
+    setUpstreams(upstreams, pools) {
+      client.setUpstreams(upstreams);
+      hub.setUpstreams(upstreams, pools);
     },
     recordPause: client.recordPause,
-    requestSlot(asked) {
-      client.requestSlot(asked);
+    requestSlot(request) {
+      client.requestSlot(request);
       scheduleReport();
     },
-    recordStart(running) {
-      client.recordStart(running);
+    recordStart(request) {
+      client.recordStart(request);
     },
     drop(key) {
       client.drop(key);
@@ -162,7 +166,7 @@
         return emit(client.receive(message.decisions));
       }
       addresses.set(message.state.entryId, from);
-      if (isDeciding()) deliver(hub.receive(message.state));
+      if (isActiveHub()) deliver(hub.receive(message.state));
     },
     describe: hub.describe,
   };
--- a/packages/anvilhinge/src/entry/choice/upstreams.ts
+++ b/packages/anvilhinge/src/entry/choice/upstreams.ts
@@ -1,7 +1,8 @@
 /**
- * The upstreams that an entry knows: groups from the settings joined with their
- * assignments, indexed by what they serve. The choice itself and the health of
- * each upstream are parts of the coordination package.
+ * Table of the upstreams of an entry: joins the groups from the settings with
+ * their assignments and indexes them by the model or service that they serve.
+ * The selection algorithm and the health of each upstream are part of the
+ * coordination package.
  */
 import type * as assignment from "@anvilhinge/coordination/assignment";
 import * as choice from "@anvilhinge/coordination/choice";
@@ -12,23 +13,23 @@
 import type * as engine from "../../ports/engine.ts";
 import type * as session from "../session/session.ts";
 
-/** Where the agent of one rank listens and runs. */
+/** Address and location of the agent of one rank. */
 export interface RankSpec extends subset.Location {
   /** Address of the rank's agent as `host:port`. */
   readonly agent: string;
 }
 
-/** A group as the settings describe it. */
+/** A group as defined in the settings. */
 export interface GroupSpec {
   readonly name: string;
   readonly kind: "model" | "service";
   /** Name of the model or service that the group serves. */
   readonly serves: string;
-  /** By rank. */
+  /** Indexed by rank. */
   readonly ranks: readonly RankSpec[];
 }
 
-/** What a request needs from an upstream. */
+/** The model or service that a request needs, and the half of the request. */
 export interface Need {
   readonly half: string;
   readonly kind: "model" | "service";
@@ -36,19 +37,19 @@
 }
 
 export interface ChooseOptions {
-  /** Ids of the upstreams that the request has tried. */
+  /** Ids of the upstreams that the request was already dispatched to. */
   readonly tried: ReadonlySet<string>;
   readonly prefixKeys?: readonly number[];
-  /** Time left to the request, in milliseconds. */
+  /** Time left until the request's deadline, in milliseconds. */
   readonly leftMs?: number;
 }
 
 /** How an attempt at an upstream ended. */
 export interface Outcome {
-  /** `abandoned`: the request ended for a reason of its own. */
+  /** `abandoned`: the attempt ended for a reason unrelated to the upstream. */
   readonly kind: health.AttemptOutcome | "abandoned";
   readonly load?: engine.EngineLoad;
-  /** When the attempt was sent. */
+  /** Dispatch time of the attempt. */
   readonly sentAtMs?: number;
   readonly prefixKeys?: readonly number[];
 }
@@ -60,7 +61,7 @@
   choose(need: Need, options: ChooseOptions): session.UpstreamChoice;
   recordDispatch(upstreamId: string): void;
   recordOutcome(upstreamId: string, outcome: Outcome): void;
-  /** Names of what the half serves now, for `GET /v1/models`. */
+  /** Names of the models or services of the half, for `GET /v1/models`. */
   listServed(half: string, kind: "model" | "service"): readonly string[];
   findAssignment(group: string): assignment.Assignment | undefined;
   listAssignments(): readonly assignment.Assignment[];
@@ -69,26 +70,29 @@
 export interface UpstreamTableOptions {
   readonly clock: clock.Clock;
   readonly random: random.RandomSource;
-  /** Id of the entry; decides its subset of the upstreams. */
+  /** Id of the entry; determines its subset of the upstreams. */
   readonly nodeId: string;
   readonly location: subset.Location;
   readonly health: health.Health;
 }
 
-interface Known extends session.Upstream, subset.Location {}
+interface LocatedUpstream extends session.Upstream, subset.Location {}
 
 const noUpstreamRetryMs = 1_000;
 const minOverloadRetryMs = 500;
 const maxOverloadRetryMs = 30_000;
-/** Share of the upstreams of one need that may be ejected. */
+/** Maximum share of the upstreams of one pool that may be ejected. */
 const maxEjectedShare = 0.5;
 
-/** Formats what a request needs as the key of its pool. */
+/** Formats the name of the pool whose upstreams can serve the request. */
 export function formatPoolName(need: Need): string {
   return `${need.half}/${need.kind}/${need.serves}`;
 }
 
-function listRanks(spec: GroupSpec, owner: assignment.Assignment): Known[] {
+function listRanks(
+  spec: GroupSpec,
+  owner: assignment.Assignment,
+): LocatedUpstream[] {
   return spec.ranks.map((rank, index) => ({
     id: `${spec.name}/${index}`,
     group: spec.name,
@@ -112,12 +116,12 @@
   const { health } = options;
   const groups = new Map<string, GroupSpec>();
   const assignments = new Map<string, assignment.Assignment>();
-  /** Pool in which a group stands, and the groups of each pool. */
+  /** The pool of each group, and the groups of each pool. */
   const poolOfGroup = new Map<string, string>();
   const groupsOfPool = new Map<string, Set<string>>();
-  /** Pools whose members changed since the chooser was told. */
+  /** Pools whose members changed since they were last passed to the chooser. */
   const changedPools = new Set<string>();
-  const chooser = choice.createChooser<Known>({
+  const chooser = choice.createChooser<LocatedUpstream>({
     ...options,
     isAvailable: health.isAvailable,
     computePenalty: health.computePenalty,
@@ -162,28 +166,28 @@
     });
   }
 
-  function describeNone(
+  function describeNoUpstream(
     need: Need,
-    outcome: Exclude<choice.ChoiceOutcome<Known>, { kind: "chosen" }>,
+    outcome: Exclude<choice.ChoiceOutcome<LocatedUpstream>, { kind: "chosen" }>,
   ): session.UpstreamChoice {
-    const wanted = `${need.kind} "${need.serves}"`;
+    const served = `${need.kind} "${need.serves}"`;
     switch (outcome.kind) {
       case "unserved":
         return {
           kind: "none",
-          reason: `No upstream serves ${wanted} for ${need.half}`,
+          reason: `No upstream serves ${served} for ${need.half}`,
           retryAfterMs: noUpstreamRetryMs,
         };
       case "exhausted":
         return {
           kind: "none",
-          reason: `All upstreams of ${wanted} were tried or are ejected`,
+          reason: `All upstreams of ${served} were tried or are ejected`,
           retryAfterMs: noUpstreamRetryMs,
         };
       case "overloaded":
         return {
           kind: "none",
-          reason: `All upstreams of ${wanted} are overloaded; the wait of ${
+          reason: `All upstreams of ${served} are overloaded; the wait of ${
             Math.ceil(outcome.waitMs)
           } ms is longer than the deadline allows`,
           retryAfterMs: boundOverloadRetry(outcome.waitMs),
@@ -196,21 +200,21 @@
   }
 
   /**
-   * Chooses as the chooser does, but leaves probes of half-open upstreams to
-   * first attempts: one request that probes several in a row would use up its
-   * attempts on upstreams that are likely to fail.
+   * Chooses an upstream, but lets only first attempts probe half-open upstreams:
+   * a request that probes several of them in a row would use up its attempts on
+   * upstreams that are likely to fail.
    */
   function chooseForAttempt(
     pool: string,
     options: choice.ChooseOptions,
-  ): choice.ChoiceOutcome<Known> {
+  ): choice.ChoiceOutcome<LocatedUpstream> {
     const first = chooser.choose(pool, options);
     if (options.tried.size === 0) return first;
-    const avoided = new Set(options.tried);
+    const excludedIds = new Set(options.tried);
     let outcome = first;
     while (outcome.kind === "chosen" && isHalfOpen(outcome.upstream.id)) {
-      avoided.add(outcome.upstream.id);
-      outcome = chooser.choose(pool, { ...options, tried: avoided });
+      excludedIds.add(outcome.upstream.id);
+      outcome = chooser.choose(pool, { ...options, tried: excludedIds });
     }
     return outcome.kind === "exhausted" ? first : outcome;
   }
@@ -225,8 +229,8 @@
       updateGroup(name);
     },
     setAssignment(received) {
-      const known = assignments.get(received.group);
-      if (known !== undefined && known.epoch >= received.epoch) return;
+      const current = assignments.get(received.group);
+      if (current !== undefined && current.epoch >= received.epoch) return;
       assignments.set(received.group, received);
       updateGroup(received.group);
     },
@@ -236,7 +240,7 @@
       const outcome = chooseForAttempt(pool, chooseOptions);
       return outcome.kind === "chosen"
         ? { kind: "chosen", upstream: outcome.upstream }
-        : describeNone(need, outcome);
+        : describeNoUpstream(need, outcome);
     },
     recordDispatch(upstreamId) {
       chooser.recordSent(upstreamId);
--- a/packages/anvilhinge/src/entry/choice/upstreams_test.ts
+++ b/packages/anvilhinge/src/entry/choice/upstreams_test.ts
@@ -3,7 +3,7 @@
 import * as random from "@anvilhinge/coordination/random";
 import * as upstreams from "./upstreams.ts";
 
-const rankCount = 6;
+const groupCount = 6;
 const afterEjectionMs = 60_000;
 const need = {
   half: "association",
@@ -12,25 +12,28 @@
 } as const;
 const location = { failureDomain: "milan_a", region: "lombardy" };
 
-/** Creates a table whose first `failed` ranks are half-open. */
-function createTable(seed: number, failed: number) {
-  const manual = clock.createManualClock();
-  const source = random.createRandomSource(seed);
-  const checked = health.createHealth({ clock: manual, random: source });
+/** Creates a table; its first `failedCount` upstreams are half-open. */
+function createTable(seed: number, failedCount: number) {
+  const manualClock = clock.createManualClock();
+  const randomSource = random.createRandomSource(seed);
+  const upstreamHealth = health.createHealth({
+    clock: manualClock,
+    random: randomSource,
+  });
   const table = upstreams.createUpstreamTable({
-    clock: manual,
-    random: source,
+    clock: manualClock,
+    random: randomSource,
     nodeId: "entry-1",
     location,
-    health: checked,
+    health: upstreamHealth,
   });
-  for (let rank = 0; rank < rankCount; rank += 1) {
-    const group = `group-${rank}`;
+  for (let index = 0; index < groupCount; index += 1) {
+    const group = `group-${index}`;
     table.setGroup({
       name: group,
       kind: "model",
       serves: "drafting",
-      ranks: [{ agent: `127.0.0.1:${rank + 1}`, ...location }],
+      ranks: [{ agent: `127.0.0.1:${index + 1}`, ...location }],
     });
     table.setAssignment({
       group,
@@ -39,24 +42,24 @@
       state: "serving",
     });
   }
-  for (let rank = 0; rank < failed; rank += 1) {
+  for (let index = 0; index < failedCount; index += 1) {
     for (let failure = 0; failure < 3; failure += 1) {
-      checked.recordOutcome(`group-${rank}/0`, "failed");
+      upstreamHealth.recordOutcome(`group-${index}/0`, "failed");
     }
   }
-  manual.advance(afterEjectionMs);
+  manualClock.advance(afterEjectionMs);
   return table;
 }
 
 function chooseId(
   table: upstreams.UpstreamTable,
-  tried: readonly string[],
+  attemptedIds: readonly string[],
 ): string {
-  const outcome = table.choose(need, { tried: new Set(tried) });
+  const outcome = table.choose(need, { tried: new Set(attemptedIds) });
   return outcome.kind === "chosen" ? outcome.upstream.id : outcome.kind;
 }
 
-test("a second attempt is no probe of a half-open upstream", () => {
+test("a second attempt does not probe a half-open upstream", () => {
   for (let seed = 1; seed <= 40; seed += 1) {
     const id = chooseId(createTable(seed, 3), ["group-3/0"]);
     expect(["group-4/0", "group-5/0"]).toContain(id);
@@ -71,8 +74,8 @@
     .toBe(true);
 });
 
-test("a second attempt takes a half-open upstream when no other is left", () => {
-  const tried = ["group-3/0", "group-4/0", "group-5/0"];
-  const id = chooseId(createTable(1, 3), tried);
+test("a second attempt uses a half-open upstream if no other is left", () => {
+  const attemptedIds = ["group-3/0", "group-4/0", "group-5/0"];
+  const id = chooseId(createTable(1, 3), attemptedIds);
   expect(["group-0/0", "group-1/0", "group-2/0"]).toContain(id);
 });
--- a/packages/anvilhinge/src/entry/choice/workspace_limits.ts
+++ b/packages/anvilhinge/src/entry/choice/workspace_limits.ts
@@ -1,6 +1,6 @@
 /**
- * Limits of workspaces at one entry. The entry's share is fixed: the limit
- * divided by the number of entries that an address answer names.
+ * Workspace limits at one entry. The entry enforces an equal share of each
+ * limit: the limit divided by the number of entries in an address answer.
  */
 import type * as clock from "@anvilhinge/coordination/clock";
 import * as limits from "@anvilhinge/coordination/limits";
@@ -16,7 +16,7 @@
 }
 
 export interface WorkspaceLimits {
-  /** Admits a request of the workspace or says when to come back. */
+  /** Admits a request, or refuses it with a retry delay. */
   admit(workspace: string): limits.AdmitOutcome;
   release(workspace: string): void;
   recordTokens(workspace: string, count: number): void;
@@ -24,22 +24,23 @@
 
 const burstMs = 2_000;
 
-/** Creates the limits; a workspace without settings is admitted. */
+/** Creates the limits; requests of a workspace without limits are admitted. */
 export function createWorkspaceLimits(
   options: WorkspaceLimitsOptions,
 ): WorkspaceLimits {
   const limiters = new Map<string, limits.Limiter>();
 
   function computeShare(): number {
-    const live =
+    const liveCount =
       options.listMembers().filter((member) => member.state === "live").length;
     const { maxAddressCount: defaultCount } = addresses;
-    return 1 / (live === 0 ? defaultCount : Math.min(live, defaultCount));
+    return 1 /
+      (liveCount === 0 ? defaultCount : Math.min(liveCount, defaultCount));
   }
 
   function getLimiter(workspace: string): limits.Limiter | undefined {
-    const present = options.findLimits(workspace);
-    if (present === undefined) {
+    const configured = options.findLimits(workspace);
+    if (configured === undefined) {
       limiters.delete(workspace);
       return undefined;
     }
@@ -47,7 +48,7 @@
     if (limiter === undefined) {
       limiter = limits.createLimiter({
         clock: options.clock,
-        limits: present,
+        limits: configured,
         readShares() {
           const share = computeShare();
           return { rates: share, concurrency: share };
@@ -57,7 +58,7 @@
       });
       limiters.set(workspace, limiter);
     }
-    limiter.setLimits(present);
+    limiter.setLimits(configured);
     return limiter;
   }
 
--- a/packages/anvilhinge/src/entry/control/store_follower.ts
+++ b/packages/anvilhinge/src/entry/control/store_follower.ts
@@ -41,9 +41,9 @@
 
 export interface FollowOptions extends ListOptions {
   /** Returns the longest time to the next confirmation, in milliseconds. */
-  readonly getConfirmMs?: () => number | undefined;
+  readonly getConfirmIntervalMs?: () => number | undefined;
   /** Time for which events are collected, in milliseconds. */
-  readonly collectMs?: number;
+  readonly batchWindowMs?: number;
   /** Version from which to watch without a list. Default: lists first. */
   readonly startVersion?: number;
   /** Called for each change after a list; changes may repeat. */
@@ -120,8 +120,8 @@
     options.store.watch(options.prefix, {
       sinceVersion,
       signal,
-      getConfirmIntervalMs: options.getConfirmMs,
-      batchWindowMs: options.collectMs,
+      getConfirmIntervalMs: options.getConfirmIntervalMs,
+      batchWindowMs: options.batchWindowMs,
       onEvent(event) {
         if (event.kind !== "closed") retries.reset();
         switch (event.kind) {
--- a/packages/anvilhinge/src/entry/routing/followed_prefix.ts
+++ b/packages/anvilhinge/src/entry/routing/followed_prefix.ts
@@ -1,6 +1,6 @@
 /**
- * Follows one prefix of the store and knows how old its view is: confirmed by
- * the store itself or, for less, by what the hub was told.
+ * Follows one prefix of the object store and tracks the age of its view. The view
+ * is confirmed by the store or, at a lower cost, by the status of the hub.
  */
 import type * as clock from "@anvilhinge/coordination/clock";
 import type * as random from "@anvilhinge/coordination/random";
@@ -8,18 +8,21 @@
 import type * as scheduler from "../../ports/scheduler.ts";
 import * as storeFollower from "../control/store_follower.ts";
 
-/** What an entry tells of its view of one prefix. */
+/** Version and age of an entry's view of one prefix, as sent by the hub. */
 export interface PrefixStatus {
-  /** Highest version of an object that it knows. */
+  /** Highest object version in the view. */
   readonly version: number;
-  /** Time since the store confirmed the view; undefined = never. */
+  /**
+   * Time since the store confirmed the view, in milliseconds.
+   * Undefined before the first confirmation.
+   */
   readonly ageMs: number | undefined;
 }
 
 export interface FollowedPrefixOptions {
   readonly store: objectStore.ObjectStore;
   readonly scheduler: scheduler.Scheduler;
-  /** Counts time in which the machine was suspended too. */
+  /** Clock that also advances while the machine is suspended. */
   readonly elapsed: clock.Clock;
   readonly random: random.RandomSource;
   readonly signal: AbortSignal;
@@ -35,33 +38,42 @@
 export interface FollowedPrefix {
   getAgeMs(): number;
   readStatus(): PrefixStatus;
-  applyHubStatus(news: PrefixStatus, trueAfterMs: number): void;
+  applyHubStatus(status: PrefixStatus, sampledAfterMs: number): void;
 }
 
-/** Mean first wait after a failed call; doubles to a second. */
+/** Mean delay after the first failed call; it doubles up to about a second. */
 const retryDelayMs = 150;
-const retryDoublings = 3;
-/** Time between confirmations for an entry that confirms for itself or others. */
-const confirmMs = 1_000;
-/** The same after a failed call: what waits for the store waits no longer. */
-const awayConfirmMs = 100;
-/** Age above which an entry no longer relies on the hub to confirm. */
-const alonenessMs = 2_500;
-/** Time in which a change that the hub knows should have come by the watch. */
-const behindMs = 300;
-const checkMs = 250;
-/** Changes come in bursts; all bounds on them are seconds. */
-const collectMs = 250;
+const maxRetryDoublings = 3;
+/** Interval between confirmations that this entry requests from the store. */
+const confirmIntervalMs = 1_000;
+/**
+ * Interval between confirmations after a failed call. It is short, so that work
+ * that waits for the store continues as soon as the store is available.
+ */
+const unavailableConfirmIntervalMs = 100;
+/** Age of the view above which an entry requests confirmations itself. */
+const maxHubConfirmedAgeMs = 2_500;
+/**
+ * Time in which the watch should deliver a change that the hub has. Afterwards
+ * the watch is assumed to be broken and is replaced.
+ */
+const watchLagTimeoutMs = 300;
+const checkIntervalMs = 250;
+/**
+ * Window in which changes are batched, because they come in bursts. All deadlines
+ * for applying a change are seconds.
+ */
+const batchWindowMs = 250;
 
 /** Starts to follow the prefix. */
 export function startFollowing(
   options: FollowedPrefixOptions,
 ): FollowedPrefix {
   const { scheduler, elapsed, signal } = options;
-  let following = new AbortController();
-  let isConfirming = true;
-  let isAway = false;
-  /** Highest version that the own list or watch has covered. */
+  let watchAbort = new AbortController();
+  let isRequestingConfirmations = true;
+  let isUnavailable = false;
+  /** Highest version covered by the lists and the watch of this entry. */
   let coveredVersion = 0;
   let objectVersion = 0;
   let confirmedAtMs = -Infinity;
@@ -76,33 +88,33 @@
     coveredVersion = Math.max(coveredVersion, version);
   }
 
-  function chooseConfirmMs(): number | undefined {
-    if (!isConfirming) return undefined;
-    return isAway ? awayConfirmMs : confirmMs;
+  function computeConfirmIntervalMs(): number | undefined {
+    if (!isRequestingConfirmations) return undefined;
+    return isUnavailable ? unavailableConfirmIntervalMs : confirmIntervalMs;
   }
 
-  /** Follows anew: from a version, or from a list of all. */
+  /** Replaces the watch. Without a start version, lists the prefix first. */
   function follow(startVersion?: number): void {
-    following.abort();
-    following = new AbortController();
+    watchAbort.abort();
+    watchAbort = new AbortController();
     behindSinceMs = undefined;
     storeFollower.followPrefix({
       store: options.store,
       scheduler,
       random: options.random,
       prefix: options.prefix,
-      signal: AbortSignal.any([signal, following.signal]),
+      signal: AbortSignal.any([signal, watchAbort.signal]),
       retryDelayMs,
-      maxDoublings: retryDoublings,
-      getConfirmMs: chooseConfirmMs,
-      collectMs,
+      maxDoublings: maxRetryDoublings,
+      getConfirmIntervalMs: computeConfirmIntervalMs,
+      batchWindowMs,
       startVersion,
       onUnavailable(message) {
-        isAway = true;
+        isUnavailable = true;
         options.onUnavailable(message);
       },
       onList(objects, version) {
-        isAway = false;
+        isUnavailable = false;
         options.onAvailable();
         coveredVersion = Math.max(coveredVersion, version);
         for (const object of objects) recordVersion(object.version);
@@ -117,29 +129,30 @@
         options.onRemoved(key);
       },
       onConfirmed(asOfMs) {
-        isAway = false;
+        isUnavailable = false;
         options.onAvailable();
-        // The instant is one of the scheduler's clock; the age is what counts.
+        // `asOfMs` is on the scheduler's clock, so the age is carried over.
         const ageMs = scheduler.now() - asOfMs;
         confirmedAtMs = Math.max(confirmedAtMs, elapsed.now() - ageMs);
       },
     });
   }
 
-  /** Chooses who confirms the view, and replaces a watch that fell silent. */
+  /** Decides who confirms the view, and replaces a watch that lags behind. */
   function check(): void {
-    const isNeeded = options.isHub() || getAgeMs() > alonenessMs;
-    const isBehind = behindSinceMs !== undefined &&
-      elapsed.now() - behindSinceMs > behindMs;
-    const wasConfirming = isConfirming;
-    isConfirming = isNeeded;
-    if (isBehind) follow();
-    else if (isNeeded && !wasConfirming) follow(coveredVersion);
-    scheduler.schedule(check, { delayMs: checkMs, signal });
+    const isRequestNeeded = options.isHub() ||
+      getAgeMs() > maxHubConfirmedAgeMs;
+    const isWatchBehind = behindSinceMs !== undefined &&
+      elapsed.now() - behindSinceMs > watchLagTimeoutMs;
+    const wasRequesting = isRequestingConfirmations;
+    isRequestingConfirmations = isRequestNeeded;
+    if (isWatchBehind) follow();
+    else if (isRequestNeeded && !wasRequesting) follow(coveredVersion);
+    scheduler.schedule(check, { delayMs: checkIntervalMs, signal });
   }
 
   follow();
-  scheduler.schedule(check, { delayMs: checkMs, signal });
+  scheduler.schedule(check, { delayMs: checkIntervalMs, signal });
   return {
     getAgeMs,
     readStatus() {
@@ -149,14 +162,14 @@
         ageMs: Number.isFinite(ageMs) ? Math.ceil(ageMs) : undefined,
       };
     },
-    applyHubStatus({ version, ageMs }, trueAfterMs) {
+    applyHubStatus({ version, ageMs }, sampledAfterMs) {
       if (version > coveredVersion) {
         behindSinceMs ??= elapsed.now();
         return;
       }
       behindSinceMs = undefined;
       if (ageMs === undefined) return;
-      confirmedAtMs = Math.max(confirmedAtMs, trueAfterMs - ageMs);
+      confirmedAtMs = Math.max(confirmedAtMs, sampledAfterMs - ageMs);
     },
   };
 }
--- a/packages/anvilhinge/src/entry/routing/route_table.ts
+++ b/packages/anvilhinge/src/entry/routing/route_table.ts
@@ -1,17 +1,17 @@
-/** Finds the route and the workspace of a request in one version of the settings. */
+/** Finds the routes and workspaces of requests in one version of the settings. */
 import type * as random from "@anvilhinge/coordination/random";
 import type * as routing from "../../settings/routing.ts";
 
-/** Settings of one version, indexed by what requests carry. */
+/** One version of the settings, indexed by the fields of requests. */
 export interface RouteTable {
   readonly settings: routing.RoutingSettings;
-  /** Finds the route with the longest prefix of the path. */
+  /** Finds the route of the host with the longest matching path prefix. */
   findRoute(host: string, path: string): routing.Route | undefined;
   findWorkspace(key: string): routing.WorkspaceKeys | undefined;
   findService(name: string): routing.ServiceSpec | undefined;
 }
 
-/** Strips the port of a `Host` header and lowers its case. */
+/** Removes the port of a `Host` header and converts it to lower case. */
 export function normalizeHost(host: string): string {
   return host.replace(/:\d*$/, "").toLowerCase();
 }
@@ -21,12 +21,12 @@
 ): ReadonlyMap<string, readonly routing.Route[]> {
   const byHost = new Map<string, routing.Route[]>();
   for (const route of routes) {
-    const known = byHost.get(route.host);
-    if (known === undefined) byHost.set(route.host, [route]);
-    else known.push(route);
+    const hostRoutes = byHost.get(route.host);
+    if (hostRoutes === undefined) byHost.set(route.host, [route]);
+    else hostRoutes.push(route);
   }
-  for (const known of byHost.values()) {
-    known.sort((a, b) => b.pathPrefix.length - a.pathPrefix.length);
+  for (const hostRoutes of byHost.values()) {
+    hostRoutes.sort((a, b) => b.pathPrefix.length - a.pathPrefix.length);
   }
   return byHost;
 }
@@ -54,16 +54,19 @@
   };
 }
 
-/** Picks one of the route's services by their weights. */
+/** Picks one of the route's services at random, in proportion to the weights. */
 export function pickService(
   route: routing.Route,
   randomSource: random.RandomSource,
 ): string | undefined {
-  const total = route.targets.reduce((sum, { weight }) => sum + weight, 0);
-  let left = randomSource() * total;
+  const totalWeight = route.targets.reduce(
+    (sum, { weight }) => sum + weight,
+    0,
+  );
+  let remaining = randomSource() * totalWeight;
   for (const { service, weight } of route.targets) {
-    left -= weight;
-    if (left < 0) return service;
+    remaining -= weight;
+    if (remaining < 0) return service;
   }
   return route.targets.at(-1)?.service;
 }
--- a/packages/anvilhinge/src/entry/routing/route_table_test.ts
+++ b/packages/anvilhinge/src/entry/routing/route_table_test.ts
@@ -36,7 +36,7 @@
   workspaces: [{ name: "w", keys: ["k1", "k2"], priority: 1 }],
 };
 
-test("the longest prefix of the host's routes wins", () => {
+test("the route of the host with the longest path prefix is found", () => {
   const table = routeTable.createRouteTable(settings);
   expect(table.findRoute("a.example", "/a/b/c")?.name).toBe("long");
   expect(table.findRoute("A.example:8080", "/a/bc")?.name).toBe("short");
@@ -45,7 +45,7 @@
   expect(table.findRoute("c.example", "/a/")).toBeUndefined();
 });
 
-test("each key leads to its workspace", () => {
+test("a workspace is found by each of its keys", () => {
   const table = routeTable.createRouteTable(settings);
   expect(table.findWorkspace("k2")?.name).toBe("w");
   expect(table.findWorkspace("k3")).toBeUndefined();
--- a/packages/anvilhinge/src/entry/routing/routing_view.ts
+++ b/packages/anvilhinge/src/entry/routing/routing_view.ts
@@ -1,11 +1,11 @@
 /**
- * The entry's view of routing settings and upstreams, as the platform's store
- * has them. A view never goes back to a lower version; it carries the instant
- * at which the store last confirmed it.
+ * The entry's view of the routing settings and upstreams in the platform's object
+ * store. A view never returns to a lower version of the settings. It records the
+ * time at which the store last confirmed it.
  *
- * Each entry follows the store itself, for its changes. Confirming costs calls,
- * so only the hub asks for it often and passes on what it was told; an entry
- * that hears nothing for a while asks itself.
+ * Each entry watches the store for changes. Confirmations cost store calls, so
+ * only the hub requests them often and distributes them to the other entries. An
+ * entry that receives no confirmation for some seconds requests its own.
  */
 import type * as clock from "@anvilhinge/coordination/clock";
 import type * as random from "@anvilhinge/coordination/random";
@@ -16,21 +16,21 @@
 import * as followedPrefix from "./followed_prefix.ts";
 import * as routeTable from "./route_table.ts";
 
-/** Where the settings and upstreams lie in the store, and how they are read. */
+/** Location and format of the settings and upstreams in the object store. */
 export interface RoutingSource {
   readonly routingPrefix: string;
-  /** Returns undefined for an object that holds no routing settings. */
+  /** Returns undefined for an object without valid routing settings. */
   decodeRouting(
     object: objectStore.StoredObject,
   ): routing.RoutingSettings | undefined;
   readonly upstreamsPrefix: string;
-  /** Returns undefined for an object that names no upstream to use. */
+  /** Returns undefined for an object without a usable upstream. */
   decodeUpstream(
     object: objectStore.StoredObject,
   ): routing.ListedUpstream | undefined;
 }
 
-/** What the hub tells of its view. */
+/** Versions and ages of the hub's view, sent to the other entries. */
 export interface ViewStatus {
   readonly routing: followedPrefix.PrefixStatus;
   readonly upstreams: followedPrefix.PrefixStatus;
@@ -40,51 +40,52 @@
   readonly source: RoutingSource;
   readonly store: objectStore.ObjectStore;
   readonly scheduler: scheduler.Scheduler;
-  /** Counts time in which the machine was suspended too. */
+  /** Clock that also advances while the machine is suspended. */
   readonly elapsed: clock.Clock;
   readonly random: random.RandomSource;
   readonly logger: logger.Logger;
   readonly signal: AbortSignal;
-  /** Whether this entry confirms the view for the others. */
+  /** Whether this entry is the hub, which confirms the view for all entries. */
   readonly isHub: () => boolean;
   readonly onRouting: (table: routeTable.RouteTable) => void;
-  /** Called with all upstreams when any of them changed. */
+  /** Called with all upstreams after any of them changed. */
   readonly onUpstreams: (
     upstreams: readonly routing.ListedUpstream[],
   ) => void;
-  /** Called once, when settings and upstreams are known. */
+  /** Called once, after the settings and the upstreams were first read. */
   readonly onReady: () => void;
 }
 
 export interface RoutingView {
   getTable(): routeTable.RouteTable | undefined;
-  /** Time since the store last confirmed the routing settings. */
+  /** Time since the store last confirmed the routing settings, in milliseconds. */
   getAgeMs(): number;
   readStatus(): ViewStatus;
-  /** Takes news of the hub that were true after an instant of `elapsed`. */
-  applyHubStatus(news: ViewStatus, trueAfterMs: number): void;
+  /** Applies a status that the hub sampled after this time of `elapsed`. */
+  applyHubStatus(status: ViewStatus, sampledAfterMs: number): void;
 }
 
 /**
- * Upstreams whose entries lapsed while the store was away write them again
- * within two seconds of its return (the platform's page on discovery).
+ * Time after the store is reachable again for which expired records are kept.
+ * Upstreams whose records expired while the store was unavailable write them
+ * again within two seconds (the platform's page on discovery).
  */
-const lapseGraceMs = 2_200;
+const expiryGraceMs = 2_200;
 
-/** Starts to follow the store. */
+/** Starts to follow the object store. */
 export function startRoutingView(options: RoutingViewOptions): RoutingView {
   const { source, scheduler, signal, logger } = options;
   const upstreams = new Map<string, routing.ListedUpstream>();
-  const lapsed = new Set<string>();
+  const expired = new Set<string>();
   let table: routeTable.RouteTable | undefined;
   let routingVersion = 0;
-  let hasUpstreams = false;
-  let isAway = false;
-  let returnedAtMs = -Infinity;
+  let hasListedUpstreams = false;
+  let isUnavailable = false;
+  let availableAtMs = -Infinity;
   let isReady = false;
 
   function checkReady(): void {
-    if (isReady || table === undefined || !hasUpstreams) return;
+    if (isReady || table === undefined || !hasListedUpstreams) return;
     isReady = true;
     options.onReady();
   }
@@ -93,7 +94,7 @@
     if (object.version <= routingVersion) return;
     const settings = source.decodeRouting(object);
     if (settings === undefined) {
-      logger.warn("Left out an object that holds no routing settings", {
+      logger.warn("Ignored an object without valid routing settings", {
         key: object.key,
         version: object.version,
       });
@@ -102,7 +103,7 @@
     if (settings.version < (table?.settings.version ?? 0)) return;
     routingVersion = object.version;
     table = routeTable.createRouteTable(settings);
-    logger.info("Routing settings are in force", {
+    logger.info("Applied routing settings", {
       version: settings.version,
       storeVersion: object.version,
       routes: settings.routes.length,
@@ -120,16 +121,16 @@
     if (upstream === undefined) {
       logger.warnOnce(
         `upstream/${object.key}`,
-        `Entry ${object.key} names no upstream to use`,
+        `Ignored ${object.key}: not a usable upstream`,
       );
-      return dropUpstream(object.key, "malformed");
+      return removeUpstream(object.key, "malformed");
     }
-    lapsed.delete(object.key);
-    const known = upstreams.get(object.key);
+    expired.delete(object.key);
+    const previous = upstreams.get(object.key);
     upstreams.set(object.key, upstream);
-    const hasChanged = JSON.stringify(known) !== JSON.stringify(upstream);
+    const hasChanged = JSON.stringify(previous) !== JSON.stringify(upstream);
     if (hasChanged) {
-      logger.info("Upstream listed", {
+      logger.info("Listed an upstream", {
         upstream: upstream.id,
         state: upstream.state,
         storeVersion: object.version,
@@ -138,77 +139,82 @@
     return hasChanged;
   }
 
-  function dropUpstream(key: string, reason: string): boolean {
-    lapsed.delete(key);
+  function removeUpstream(key: string, reason: string): boolean {
+    expired.delete(key);
     const upstream = upstreams.get(key);
     if (upstream === undefined) return false;
     upstreams.delete(key);
-    logger.info("Upstream gone", { upstream: upstream.id, reason });
+    logger.info("Removed an upstream", { upstream: upstream.id, reason });
     return true;
   }
 
-  /** Takes an entry that is missing; it may only have lapsed in an outage. */
-  function missUpstream(key: string): boolean {
-    const graceLeftMs = returnedAtMs + lapseGraceMs - scheduler.now();
+  /**
+   * Removes an upstream whose record is missing. After an outage of the store the
+   * removal is delayed, as the record may only have expired.
+   */
+  function expireUpstream(key: string): boolean {
+    const graceLeftMs = availableAtMs + expiryGraceMs - scheduler.now();
     if (!upstreams.has(key) || graceLeftMs <= 0) {
-      return dropUpstream(key, "removed");
+      return removeUpstream(key, "removed");
     }
-    if (lapsed.has(key)) return false;
-    lapsed.add(key);
+    if (expired.has(key)) return false;
+    expired.add(key);
     scheduler.schedule(() => {
-      if (lapsed.has(key) && dropUpstream(key, "lapsed")) publishUpstreams();
+      if (expired.has(key) && removeUpstream(key, "lapsed")) publishUpstreams();
     }, { delayMs: graceLeftMs, signal });
     return false;
   }
 
-  function listUpstreams(objects: readonly objectStore.StoredObject[]): void {
+  function applyUpstreamList(
+    objects: readonly objectStore.StoredObject[],
+  ): void {
     const listed = new Set(objects.map(({ key }) => key));
-    let hasChanged = !hasUpstreams;
+    let hasChanged = !hasListedUpstreams;
     for (const object of objects) {
       hasChanged = applyUpstream(object) || hasChanged;
     }
     for (const key of [...upstreams.keys()]) {
-      if (!listed.has(key)) hasChanged = missUpstream(key) || hasChanged;
+      if (!listed.has(key)) hasChanged = expireUpstream(key) || hasChanged;
     }
-    hasUpstreams = true;
+    hasListedUpstreams = true;
     if (hasChanged) publishUpstreams();
     checkReady();
   }
 
-  function noteAway(message: string): void {
-    if (isAway) return;
-    isAway = true;
-    logger.warn("Lost contact with the store", { message });
+  function recordUnavailable(message: string): void {
+    if (isUnavailable) return;
+    isUnavailable = true;
+    logger.warn("Lost contact with the object store", { message });
   }
 
-  function noteBack(): void {
-    if (!isAway) return;
-    isAway = false;
-    returnedAtMs = scheduler.now();
-    logger.info("Regained contact with the store");
+  function recordAvailable(): void {
+    if (!isUnavailable) return;
+    isUnavailable = false;
+    availableAtMs = scheduler.now();
+    logger.info("Regained contact with the object store");
   }
 
-  const shared = {
+  const sharedOptions = {
     ...options,
-    onUnavailable: noteAway,
-    onAvailable: noteBack,
+    onUnavailable: recordUnavailable,
+    onAvailable: recordAvailable,
   };
   const followedRouting = followedPrefix.startFollowing({
-    ...shared,
+    ...sharedOptions,
     prefix: source.routingPrefix,
     onList: (objects) => objects.forEach(applyRouting),
     onObject: applyRouting,
     onRemoved: () => {},
   });
   const followedUpstreams = followedPrefix.startFollowing({
-    ...shared,
+    ...sharedOptions,
     prefix: source.upstreamsPrefix,
-    onList: listUpstreams,
+    onList: applyUpstreamList,
     onObject(object) {
       if (applyUpstream(object)) publishUpstreams();
     },
     onRemoved(key) {
-      if (missUpstream(key)) publishUpstreams();
+      if (expireUpstream(key)) publishUpstreams();
     },
   });
 
@@ -219,9 +225,9 @@
       routing: followedRouting.readStatus(),
       upstreams: followedUpstreams.readStatus(),
     }),
-    applyHubStatus(news, trueAfterMs) {
-      followedRouting.applyHubStatus(news.routing, trueAfterMs);
-      followedUpstreams.applyHubStatus(news.upstreams, trueAfterMs);
+    applyHubStatus(status, sampledAfterMs) {
+      followedRouting.applyHubStatus(status.routing, sampledAfterMs);
+      followedUpstreams.applyHubStatus(status.upstreams, sampledAfterMs);
     },
   };
 }
--- a/packages/anvilhinge/src/entry/routing/routing_view_test.ts
+++ b/packages/anvilhinge/src/entry/routing/routing_view_test.ts
@@ -11,13 +11,13 @@
   readonly options: objectStore.WatchOptions;
 }
 
-/** A store whose answers the test gives by hand. */
+/** A store whose contents and watch events are set by the test. */
 function createFakeStore() {
   const objects = new Map<string, objectStore.StoredObject>();
   const watches: OpenWatch[] = [];
   let version = 10;
-  let isAway = false;
-  let lists = 0;
+  let isUnavailable = false;
+  let listCalls = 0;
 
   function findWatch(prefix: string): OpenWatch | undefined {
     return watches.filter((watch) =>
@@ -28,8 +28,8 @@
   return {
     store: {
       list(prefix: string) {
-        lists += 1;
-        const outcome: objectStore.ListOutcome = isAway
+        listCalls += 1;
+        const outcome: objectStore.ListOutcome = isUnavailable
           ? { kind: "unavailable", message: "away" }
           : {
             kind: "listed",
@@ -46,7 +46,7 @@
       write: () => Promise.resolve({ kind: "unavailable", message: "" }),
       remove: () => Promise.resolve({ kind: "unavailable", message: "" }),
     } as objectStore.ObjectStore,
-    countLists: () => lists,
+    countListCalls: () => listCalls,
     put(key: string, value: unknown) {
       version += 1;
       objects.set(key, { key, value, version });
@@ -57,15 +57,15 @@
       objects.delete(key);
       return version;
     },
-    /** Delivers what changed to the watch of a prefix. */
-    tell(prefix: string, event: objectStore.WatchEvent) {
+    /** Delivers an event to the open watch of a prefix. */
+    emit(prefix: string, event: objectStore.WatchEvent) {
       findWatch(prefix)?.options.onEvent(event);
     },
-    getConfirmMs: (prefix: string) =>
+    getConfirmIntervalMs: (prefix: string) =>
       findWatch(prefix)?.options.getConfirmIntervalMs?.(),
-    setAway(away: boolean) {
-      isAway = away;
-      if (!away) return;
+    setUnavailable(value: boolean) {
+      isUnavailable = value;
+      if (!value) return;
       for (const prefix of ["config/", "servers/"]) {
         findWatch(prefix)?.options.onEvent({
           kind: "closed",
@@ -119,8 +119,8 @@
   fake.put("servers/u2", "serving");
   const abort = new AbortController();
   const tables: routeTable.RouteTable[] = [];
-  const listed: string[][] = [];
-  let ready = 0;
+  const upstreamLists: string[][] = [];
+  let readyCalls = 0;
   const view = routingView.startRoutingView({
     source,
     store: fake.store,
@@ -136,8 +136,10 @@
     isHub: () => isHub,
     onRouting: (table) => void tables.push(table),
     onUpstreams: (upstreams) =>
-      void listed.push(upstreams.map(({ id, state }) => `${id} ${state}`)),
-    onReady: () => (ready += 1),
+      void upstreamLists.push(
+        upstreams.map(({ id, state }) => `${id} ${state}`),
+      ),
+    onReady: () => (readyCalls += 1),
   });
   await scheduler.advanceAsync(10);
   return {
@@ -145,32 +147,32 @@
     fake,
     scheduler,
     listVersions: () => tables.map(({ settings }) => settings.version),
-    getListed: () => listed.at(-1),
-    countReady: () => ready,
+    getUpstreams: () => upstreamLists.at(-1),
+    countReadyCalls: () => readyCalls,
   };
 }
 
-test("a view is ready once settings and upstreams are known", async () => {
-  const { countReady, listVersions, getListed } = await createView();
-  expect(countReady()).toBe(1);
+test("a view is ready after settings and upstreams were read", async () => {
+  const { countReadyCalls, listVersions, getUpstreams } = await createView();
+  expect(countReadyCalls()).toBe(1);
   expect(listVersions()).toEqual([1]);
-  expect(getListed()).toEqual(["u1 serving", "u2 serving"]);
+  expect(getUpstreams()).toEqual(["u1 serving", "u2 serving"]);
 });
 
-test("a view takes higher versions only", async () => {
+test("a view applies only higher versions", async () => {
   const { fake, listVersions, view } = await createView();
   const version = fake.put("config/main", 5);
   const object = { key: "config/main", value: 5, version };
-  fake.tell("config/", { kind: "changed", object });
-  fake.tell("config/", {
+  fake.emit("config/", { kind: "changed", object });
+  fake.emit("config/", {
     kind: "changed",
     object: { ...object, value: 3, version: version - 1 },
   });
-  fake.tell("config/", {
+  fake.emit("config/", {
     kind: "changed",
     object: { ...object, value: 4, version: version + 1 },
   });
-  fake.tell("config/", {
+  fake.emit("config/", {
     kind: "changed",
     object: { ...object, value: "no settings", version: version + 2 },
   });
@@ -178,46 +180,46 @@
   expect(view.getTable()?.settings.version).toBe(5);
 });
 
-test("both ways of leaving end the use of an upstream", async () => {
-  const { fake, getListed } = await createView();
+test("an upstream leaves by its state or by removal of its record", async () => {
+  const { fake, getUpstreams } = await createView();
   const version = fake.put("servers/u1", "leaving");
-  fake.tell("servers/", {
+  fake.emit("servers/", {
     kind: "changed",
     object: { key: "servers/u1", value: "leaving", version },
   });
-  expect(getListed()).toEqual(["u1 leaving", "u2 serving"]);
-  fake.tell("servers/", {
+  expect(getUpstreams()).toEqual(["u1 leaving", "u2 serving"]);
+  fake.emit("servers/", {
     kind: "removed",
     key: "servers/u2",
     version: fake.remove("servers/u2"),
   });
-  expect(getListed()).toEqual(["u1 leaving"]);
+  expect(getUpstreams()).toEqual(["u1 leaving"]);
 });
 
-test("an entry that another writer spoilt names no upstream", async () => {
-  const { fake, getListed } = await createView();
+test("a malformed record removes its upstream", async () => {
+  const { fake, getUpstreams } = await createView();
   const version = fake.put("servers/u1", { broken: true });
-  fake.tell("servers/", {
+  fake.emit("servers/", {
     kind: "changed",
     object: { key: "servers/u1", value: { broken: true }, version },
   });
-  expect(getListed()).toEqual(["u2 serving"]);
+  expect(getUpstreams()).toEqual(["u2 serving"]);
 });
 
-test("what lapsed while the store was away is gone two seconds after", async () => {
-  const { fake, getListed, scheduler } = await createView();
-  fake.setAway(true);
+test("records that expired in an outage are removed two seconds after it", async () => {
+  const { fake, getUpstreams, scheduler } = await createView();
+  fake.setUnavailable(true);
   await scheduler.advanceAsync(3_000);
-  expect(getListed()).toEqual(["u1 serving", "u2 serving"]);
+  expect(getUpstreams()).toEqual(["u1 serving", "u2 serving"]);
   fake.remove("servers/u1");
   fake.remove("servers/u2");
-  fake.setAway(false);
-  // The watch goes on by itself; its history was lost meanwhile.
+  fake.setUnavailable(false);
+  // The watch resumes, but the store has lost the history of the outage.
   await scheduler.advanceAsync(1_500);
-  fake.tell("servers/", { kind: "closed", message: "history is gone" });
+  fake.emit("servers/", { kind: "closed", message: "history is gone" });
   await scheduler.advanceAsync(500);
-  expect(getListed()).toEqual(["u1 serving", "u2 serving"]);
-  fake.tell("servers/", {
+  expect(getUpstreams()).toEqual(["u1 serving", "u2 serving"]);
+  fake.emit("servers/", {
     kind: "changed",
     object: {
       key: "servers/u2",
@@ -226,67 +228,67 @@
     },
   });
   await scheduler.advanceAsync(2_500);
-  expect(getListed()).toEqual(["u2 serving"]);
+  expect(getUpstreams()).toEqual(["u2 serving"]);
 });
 
-test("the age is that of the last confirmation", async () => {
+test("the age is the time since the last confirmation", async () => {
   const { fake, scheduler, view } = await createView({ isHub: true });
   expect(view.getAgeMs()).toBeLessThanOrEqual(10);
   await scheduler.advanceAsync(900);
-  fake.tell("config/", { kind: "confirmed", asOfMs: scheduler.now() - 200 });
+  fake.emit("config/", { kind: "confirmed", asOfMs: scheduler.now() - 200 });
   expect(view.getAgeMs()).toBe(200);
   await scheduler.advanceAsync(5_000);
   expect(view.getAgeMs()).toBe(5_200);
 });
 
-test("the hub's news confirm a view that lacks nothing", async () => {
+test("the hub's status confirms a view that has all versions", async () => {
   const { scheduler, view } = await createView();
   await scheduler.advanceAsync(1_000);
-  const news = view.readStatus();
+  const hubStatus = view.readStatus();
   const sentAtMs = scheduler.now() - 50;
   view.applyHubStatus({
-    ...news,
-    routing: { version: news.routing.version, ageMs: 100 },
+    ...hubStatus,
+    routing: { version: hubStatus.routing.version, ageMs: 100 },
   }, sentAtMs);
   expect(view.getAgeMs()).toBe(150);
 });
 
-test("news of a version that is missing confirm nothing and end in a list", async () => {
+test("a hub status with a missing version causes a list, not a confirmation", async () => {
   const { fake, scheduler, view, listVersions } = await createView();
   await scheduler.advanceAsync(1_000);
-  const lists = fake.countLists();
+  const listCalls = fake.countListCalls();
   const version = fake.put("config/main", 2);
-  const news = view.readStatus();
-  const told = { ...news, routing: { version, ageMs: 0 } };
-  view.applyHubStatus(told, scheduler.now());
+  const hubStatus = view.readStatus();
+  const status = { ...hubStatus, routing: { version, ageMs: 0 } };
+  view.applyHubStatus(status, scheduler.now());
   expect(view.getAgeMs()).toBeGreaterThan(900);
-  // The own watch fell silent: nothing comes by it.
+  // The watch of this entry is stalled: it delivers no events.
   await scheduler.advanceAsync(600);
-  expect(fake.countLists()).toBe(lists + 1);
+  expect(fake.countListCalls()).toBe(listCalls + 1);
   expect(listVersions()).toEqual([1, 2]);
-  view.applyHubStatus(told, scheduler.now());
+  view.applyHubStatus(status, scheduler.now());
   expect(view.getAgeMs()).toBeLessThan(10);
 });
 
-test("only the hub, or whoever hears nothing, asks the store to confirm", async () => {
+test("only the hub, or an entry without its status, requests confirmations", async () => {
   const { fake, scheduler, view } = await createView();
-  const tellNews = () => {
-    const news = view.readStatus();
-    const fresh = { version: news.routing.version, ageMs: 10 };
-    const upstreams = { version: news.upstreams.version, ageMs: 10 };
+  const applyFreshStatus = () => {
+    const hubStatus = view.readStatus();
+    const fresh = { version: hubStatus.routing.version, ageMs: 10 };
+    const upstreams = { version: hubStatus.upstreams.version, ageMs: 10 };
     view.applyHubStatus({ routing: fresh, upstreams }, scheduler.now());
   };
-  for (let turn = 0; turn < 10; turn += 1) {
-    tellNews();
+  for (let tick = 0; tick < 10; tick += 1) {
+    applyFreshStatus();
     await scheduler.advanceAsync(200);
   }
-  expect(fake.getConfirmMs("config/")).toBeUndefined();
+  expect(fake.getConfirmIntervalMs("config/")).toBeUndefined();
   await scheduler.advanceAsync(3_000);
-  expect(fake.getConfirmMs("config/")).toBe(1_000);
-  tellNews();
+  expect(fake.getConfirmIntervalMs("config/")).toBe(1_000);
+  applyFreshStatus();
   await scheduler.advanceAsync(300);
-  expect(fake.getConfirmMs("config/")).toBeUndefined();
+  expect(fake.getConfirmIntervalMs("config/")).toBeUndefined();
   const hub = await createView({ isHub: true });
   await hub.scheduler.advanceAsync(500);
-  expect(hub.fake.getConfirmMs("config/")).toBe(1_000);
+  expect(hub.fake.getConfirmIntervalMs("config/")).toBe(1_000);
 });
