--- a/packages/anvilhinge/src/entry/choice/slot_coordinator.ts
+++ b/packages/anvilhinge/src/entry/choice/slot_coordinator.ts
@@ -127,14 +127,14 @@
   }
 
   /** Logs the load seen by the hub, which explains why requests were refused. */
-  function logLoad(): void {
+  function writeLoadLog(): void {
     if (!isActiveHub() || scheduler.now() - loggedAtMs < logIntervalMs) return;
     loggedAtMs = scheduler.now();
     options.logger.info("Load of the pools", { pools: hub.describe() });
   }
 
   function tick(): void {
-    logLoad();
+    writeLoadLog();
     emit(client.tick());
     const isWaiting = client.hasWaiting();
     const intervalMs = isWaiting ? waitingIntervalMs : idleIntervalMs;
--- a/packages/anvilhinge/src/entry/control/control_duties.ts
+++ b/packages/anvilhinge/src/entry/control/control_duties.ts
@@ -1,43 +1,50 @@
-/** The control duties of one entry and the way to those of other entries. */
+/**
+ * The control duties of one entry, and requests to the entries that hold the
+ * other duties.
+ */
 import * as duties from "./duties.ts";
 import * as dutyDirectory from "./duty_directory.ts";
 import * as entryClient from "./entry_client.ts";
 import * as handoverDuty from "./handover_duty.ts";
 
 export interface ControlDuties
-  extends Pick<duties.Duties, "isHolder" | "getFencingNumber" | "listHeld"> {
-  /** Takes a report, or passes it on to the entry in charge; false if neither. */
+  extends
+    Pick<duties.Duties, "isHolder" | "getFencingNumber" | "listHeldBundles"> {
+  /**
+   * Handles a report or forwards it to the entry in charge of the group. Resolves
+   * to false if neither is possible.
+   */
   report(
     received: entryClient.GroupReport & { readonly forwarded: boolean },
   ): Promise<boolean>;
-  /** Progress of a move that this entry is in charge of. */
+  /** Returns the progress of a move that this entry is in charge of. */
   getOwnProgress(group: string): entryClient.MoveProgress | undefined;
-  /** As `getOwnProgress`, asking the entry in charge where needed. */
+  /** Returns the progress of a move; queries the entry in charge if needed. */
   findProgress(group: string): Promise<entryClient.MoveProgress | undefined>;
   listConflicts(): readonly handoverDuty.GroupConflict[];
-  /** Starts the duties; other entries reach this one at `controlAddress`. */
+  /** Starts the duties; other entries reach this entry at `controlAddress`. */
   start(controlAddress: string): void;
-  /** Gives up the leases that are held. */
+  /** Releases the leases that this entry holds. */
   stop(): Promise<void>;
 }
 
 export interface ControlDutiesOptions {
   readonly signal: AbortSignal;
-  /** @default a client over connections of its own */
+  /** @default a client with its own connections */
   readonly client?: entryClient.EntryClient;
 }
 
-/** Creates the duties of an entry; they do nothing before `start`. */
+/** Creates the duties of an entry; they are inactive before `start`. */
 export function createControlDuties(
   entry: duties.DutiesContext & handoverDuty.HandoverContext,
   options: ControlDutiesOptions,
 ): ControlDuties {
   const { signal } = options;
-  const held = duties.createDuties(entry, { signal });
+  const leasedDuties = duties.createDuties(entry, { signal });
   const directory = dutyDirectory.createDutyDirectory(entry.store);
   const client = options.client ?? entryClient.createEntryClient({ signal });
-  const moves = handoverDuty.createHandoverDuty(entry, {
-    duties: held,
+  const handover = handoverDuty.createHandoverDuty(entry, {
+    duties: leasedDuties,
     signal,
   });
   let ownAddress = "";
@@ -47,7 +54,7 @@
     return { half: owner?.half ?? entry.settings.half, key: group };
   }
 
-  async function findOther(
+  async function findOtherHolder(
     duty: dutyDirectory.Duty,
   ): Promise<string | undefined> {
     const address = await directory.findHolder(duty);
@@ -60,7 +67,7 @@
     report: entryClient.GroupReport,
   ): Promise<boolean> {
     const duty = findDuty(report.group);
-    const address = await findOther(duty);
+    const address = await findOtherHolder(duty);
     if (address === undefined) return false;
     const accepted = await client.forwardReport(address, report);
     if (!accepted) directory.invalidate(duty);
@@ -68,31 +75,31 @@
   }
 
   return {
-    isHolder: held.isHolder,
-    getFencingNumber: held.getFencingNumber,
-    listHeld: held.listHeld,
+    isHolder: leasedDuties.isHolder,
+    getFencingNumber: leasedDuties.getFencingNumber,
+    listHeldBundles: leasedDuties.listHeldBundles,
     async report({ forwarded, group, rank, epoch, incarnation }) {
       const report = { group, rank, epoch, incarnation };
-      if (await moves.report(report)) return true;
+      if (await handover.report(report)) return true;
       return forwarded ? false : await sendReport(report);
     },
-    getOwnProgress: moves.getProgress,
+    getOwnProgress: handover.getProgress,
     async findProgress(group) {
-      const own = moves.getProgress(group);
+      const own = handover.getProgress(group);
       if (own !== undefined) return own;
       const duty = findDuty(group);
-      const address = await findOther(duty);
+      const address = await findOtherHolder(duty);
       if (address === undefined) return undefined;
       const progress = await client.getMove(address, group);
       if (progress === undefined) directory.invalidate(duty);
       return progress;
     },
-    listConflicts: moves.listConflicts,
+    listConflicts: handover.listConflicts,
     start(controlAddress) {
       ownAddress = controlAddress;
-      held.start(controlAddress);
-      moves.start();
+      leasedDuties.start(controlAddress);
+      handover.start();
     },
-    stop: held.stop,
+    stop: leasedDuties.stop,
   };
 }
--- a/packages/anvilhinge/src/entry/control/control_service.ts
+++ b/packages/anvilhinge/src/entry/control/control_service.ts
@@ -1,6 +1,6 @@
 /**
- * Serves the entry's messages to agents and other entries: assignments of the
- * groups that agents follow, and the progress of moves.
+ * Serves requests of agents and other entries: streams of the assignments of
+ * groups, reports of drained ranks, and the progress of moves.
  */
 import type * as assignment from "@anvilhinge/coordination/assignment";
 import type * as connect from "@connectrpc/connect";
@@ -9,7 +9,7 @@
 import * as entryPb from "../../gen/anvilhinge/v1/entry_pb.ts";
 import type * as controlDuties from "./control_duties.ts";
 
-/** Distributes assignments to the agents that follow this entry. */
+/** Distributes assignments to the agents that follow a group at this entry. */
 export interface ControlService {
   readonly routes: (router: connect.ConnectRouter) => void;
   /** Sends the assignment to each follower of its group. */
@@ -34,9 +34,9 @@
   const followers = new Map<string, Set<Follower>>();
 
   function getFollowers(group: string): Set<Follower> {
-    const known = followers.get(group) ?? new Set();
-    followers.set(group, known);
-    return known;
+    const groupFollowers = followers.get(group) ?? new Set();
+    followers.set(group, groupFollowers);
+    return groupFollowers;
   }
 
   async function* follow(
@@ -44,17 +44,17 @@
     signal: AbortSignal,
   ): AsyncGenerator<entryPb.GroupAssignment> {
     const queue: Follower = streamQueue.createStreamQueue(signal);
-    const present = options.findAssignment(group);
-    if (present !== undefined) queue.push(present);
-    const ofGroup = getFollowers(group);
-    ofGroup.add(queue);
+    const current = options.findAssignment(group);
+    if (current !== undefined) queue.push(current);
+    const groupFollowers = getFollowers(group);
+    groupFollowers.add(queue);
     try {
       for await (const received of queue) {
         yield assignmentCodec.encodeAssignment(received);
       }
     } finally {
-      ofGroup.delete(queue);
-      if (ofGroup.size === 0) followers.delete(group);
+      groupFollowers.delete(queue);
+      if (groupFollowers.size === 0) followers.delete(group);
     }
   }
 
@@ -83,7 +83,9 @@
     },
     countFollowers() {
       let count = 0;
-      for (const ofGroup of followers.values()) count += ofGroup.size;
+      for (const groupFollowers of followers.values()) {
+        count += groupFollowers.size;
+      }
       return count;
     },
   };
--- a/packages/anvilhinge/src/entry/control/duties.ts
+++ b/packages/anvilhinge/src/entry/control/duties.ts
@@ -1,6 +1,7 @@
 /**
- * The control duties that this entry holds: one lease for each bundle of its
- * half. Orders and writes of a duty carry the fencing number of its lease.
+ * The control duties that this entry holds, through one lease per bundle of
+ * duties of its half. Orders and writes of a duty carry the fencing number of its
+ * lease.
  */
 import * as bundle from "@anvilhinge/coordination/bundle";
 import * as lease from "@anvilhinge/coordination/lease";
@@ -20,15 +21,15 @@
 >;
 
 export interface Duties {
-  /** Whether this entry holds the lease of the duty, by the clock of now. */
+  /** Whether this entry currently holds the lease of the duty. */
   isHolder(dutyKey: string): boolean;
-  /** Fencing number of the duty's lease; undefined unless it is held here. */
+  /** Fencing number of the duty's lease; undefined unless this entry holds it. */
   getFencingNumber(dutyKey: string): number | undefined;
-  /** Numbers of the bundles that are held here. */
-  listHeld(): readonly number[];
-  /** Starts to compete for the leases; others reach the holder at `address`. */
+  /** Numbers of the bundles whose lease this entry holds. */
+  listHeldBundles(): readonly number[];
+  /** Competes for the leases; other entries reach a holder at its `address`. */
   start(address: string): void;
-  /** Gives up what is held. */
+  /** Releases all held leases. */
   stop(): Promise<void>;
 }
 
@@ -37,7 +38,7 @@
   readonly driver: leaseDriver.LeaseDriver;
 }
 
-/** Creates the duties of one entry; it holds none before `start`. */
+/** Creates the duties of one entry; it holds no leases before `start`. */
 export function createDuties(
   entry: DutiesContext,
   options: { readonly signal: AbortSignal },
@@ -55,10 +56,13 @@
       holder,
       address,
       getCandidateIndex() {
-        const live = entry.listMembers().filter((member) =>
+        const liveMembers = entry.listMembers().filter((member) =>
           member.state === "live"
         );
-        return bundle.computeCandidateIndex(live, { key, id: settings.id });
+        return bundle.computeCandidateIndex(liveMembers, {
+          key,
+          id: settings.id,
+        });
       },
     });
     const driver = leaseDriver.driveLease({
@@ -68,7 +72,7 @@
       schedule: scheduler.schedule,
       signal: options.signal,
       onStarted: (fencingNumber) =>
-        logger.info(`Holds ${key} with fencing number ${fencingNumber}`),
+        logger.info(`Acquired ${key} with fencing number ${fencingNumber}`),
       onStopped: () => logger.info(`No longer holds ${key}`),
     });
     return { machine, driver };
@@ -83,7 +87,7 @@
   return {
     isHolder: (dutyKey) => getFencingNumber(dutyKey) !== undefined,
     getFencingNumber,
-    listHeld: () =>
+    listHeldBundles: () =>
       leases.flatMap(({ machine }, bundleNumber) =>
         machine.getHeldFencingNumber() === undefined ? [] : [bundleNumber]
       ),
--- a/packages/anvilhinge/src/entry/control/duty_directory.ts
+++ b/packages/anvilhinge/src/entry/control/duty_directory.ts
@@ -1,4 +1,4 @@
-/** Finds the entry in charge of a duty of either half by the duty's lease. */
+/** Finds the entry in charge of a duty of any half by the lease of the duty. */
 import * as leaseRecord from "@anvilhinge/coordination/lease_record";
 import * as leaseKey from "../../adapters/lease_key.ts";
 import type * as objectStore from "../../ports/object_store.ts";
@@ -10,35 +10,35 @@
 }
 
 export interface DutyDirectory {
-  /** Control address of the holder; undefined when it can't be learnt. */
+  /** Control address of the holder; undefined if there is none or it is unaddresses. */
   findHolder(duty: Duty): Promise<string | undefined>;
-  /** Has the next search ask the store again. */
+  /** Makes the next `findHolder` read the lease from the store again. */
   invalidate(duty: Duty): void;
 }
 
-/** Creates a directory that reads each lease once until it is forgotten. */
+/** Creates a directory that caches each lease until it is invalidated. */
 export function createDutyDirectory(
   store: objectStore.ObjectStore,
 ): DutyDirectory {
-  const known = new Map<string, Promise<string | undefined>>();
+  const addresses = new Map<string, Promise<string | undefined>>();
 
   async function readHolder(key: string): Promise<string | undefined> {
     const outcome = await store.read(key);
     const record = outcome.kind === "found"
       ? leaseRecord.parseLeaseRecord(outcome.object.value)
       : undefined;
-    if (record === undefined || record.released) known.delete(key);
+    if (record === undefined || record.released) addresses.delete(key);
     return record?.released ? undefined : record?.address;
   }
 
   return {
     findHolder(duty) {
       const key = leaseKey.formatDutyLeaseKey(duty.half, duty.key);
-      const address = known.get(key) ?? readHolder(key);
-      known.set(key, address);
+      const address = addresses.get(key) ?? readHolder(key);
+      addresses.set(key, address);
       return address;
     },
     invalidate: (duty) =>
-      void known.delete(leaseKey.formatDutyLeaseKey(duty.half, duty.key)),
+      void addresses.delete(leaseKey.formatDutyLeaseKey(duty.half, duty.key)),
   };
 }
--- a/packages/anvilhinge/src/entry/control/entry_client.ts
+++ b/packages/anvilhinge/src/entry/control/entry_client.ts
@@ -1,32 +1,32 @@
-/** Calls other entries with connect-es. */
+/** Client for calls to other entries, with connect-es. */
 import type * as handover from "@anvilhinge/coordination/handover";
 import * as connect from "@connectrpc/connect";
 import * as connectNode from "@connectrpc/connect-node";
 import * as entryPb from "../../gen/anvilhinge/v1/entry_pb.ts";
 
-/** A rank's report that it has no work of an older epoch left. */
+/** A rank's report that no work admitted under an older epoch is running. */
 export interface GroupReport extends handover.DrainedReport {
   readonly group: string;
   readonly incarnation: string;
 }
 
-/** What the entry in charge knows of a move. */
+/** Progress of a move, as recorded by the entry in charge. */
 export interface MoveProgress {
   readonly epoch: number;
   readonly waitingFor: readonly number[];
 }
 
 export interface EntryClient {
-  /** Resolves to whether the entry took the report. */
+  /** Resolves to whether the entry accepted the report. */
   forwardReport(address: string, report: GroupReport): Promise<boolean>;
-  /** Resolves to undefined when the entry is not in charge of the group. */
+  /** Resolves to undefined if the entry is not in charge or the call failed. */
   getMove(address: string, group: string): Promise<MoveProgress | undefined>;
 }
 
 const callTimeoutMs = 1_000;
 const idleConnectionTimeoutMs = 10_000;
 
-/** Creates a client; connections end soon after their last use. */
+/** Creates a client; idle connections are closed. */
 export function createEntryClient(
   options: { readonly signal: AbortSignal },
 ): EntryClient {
@@ -34,8 +34,8 @@
   const clients = new Map<string, Client>();
 
   function getClient(address: string): Client {
-    const known = clients.get(address);
-    if (known !== undefined) return known;
+    const existing = clients.get(address);
+    if (existing !== undefined) return existing;
     const baseUrl = `http://${address}`;
     const sessionManager = new connectNode.Http2SessionManager(baseUrl, {
       idleConnectionTimeoutMs,
--- a/packages/anvilhinge/src/entry/control/gossip_client.ts
+++ b/packages/anvilhinge/src/entry/control/gossip_client.ts
@@ -1,4 +1,4 @@
-/** Calls other entries with connect-es. */
+/** Client for gossip requests to other entries, with connect-es. */
 import type * as gossipMessage from "@anvilhinge/coordination/gossip_message";
 import * as connect from "@connectrpc/connect";
 import * as connectNode from "@connectrpc/connect-node";
@@ -6,18 +6,18 @@
 import * as gossipPb from "../../gen/anvilhinge/v1/gossip_pb.ts";
 
 export interface GossipClient {
-  /** Resolves to undefined when no usable reply arrived in time. */
+  /** Resolves to undefined if no valid reply arrived before the timeout. */
   exchange(
     address: string,
     request: gossipMessage.GossipRequest,
   ): Promise<gossipMessage.GossipReply | undefined>;
-  /** Forgets a peer and closes its connection. */
+  /** Removes a peer and closes its connection. */
   drop(address: string): void;
 }
 
 export interface GossipClientOptions {
   readonly half: string;
-  /** Longest wait for a reply, in milliseconds. */
+  /** Timeout of a request, in milliseconds. */
   readonly timeoutMs: number;
   /** Closes all connections. */
   readonly signal: AbortSignal;
@@ -28,16 +28,16 @@
   readonly manager: connectNode.Http2SessionManager;
 }
 
-/** Peers change with every message, so few connections are worth keeping. */
+/** Each message goes to another peer, so that few idle connections are reused. */
 const idleConnectionTimeoutMs = 10_000;
 
-/** Creates a client that connects to a peer when it is first needed. */
+/** Creates a client that connects to a peer at the first request. */
 export function createGossipClient(options: GossipClientOptions): GossipClient {
   const connections = new Map<string, Connection>();
 
   function getConnection(address: string): Connection {
-    const known = connections.get(address);
-    if (known !== undefined) return known;
+    const existing = connections.get(address);
+    if (existing !== undefined) return existing;
     const baseUrl = `http://${address}`;
     const manager = new connectNode.Http2SessionManager(baseUrl, {
       idleConnectionTimeoutMs,
@@ -74,7 +74,7 @@
           await client.exchange(wire, { timeoutMs }),
         );
       } catch {
-        // A peer that fails and one that is silent are the same to the caller.
+        // Errors and timeouts have equal consequences for the caller.
         return undefined;
       }
     },
--- a/packages/anvilhinge/src/entry/control/gossip_node.ts
+++ b/packages/anvilhinge/src/entry/control/gossip_node.ts
@@ -1,6 +1,6 @@
 /**
- * Runs the entry's gossip member: turns its effects into calls, timers and
- * reads of the store, and feeds what comes of them back.
+ * Runs the entry's gossip member: executes its effects as calls, timers and reads
+ * of the object store, and passes the results back as events.
  */
 import * as gossip from "@anvilhinge/coordination/gossip";
 import type * as gossipMessage from "@anvilhinge/coordination/gossip_message";
@@ -25,12 +25,12 @@
   readonly scheduler: scheduler.Scheduler;
   readonly random: random.RandomSource;
   readonly logger: logger.Logger;
-  /** Ends everything at once. */
+  /** Stops all calls, timers and reads at once. */
   readonly signal: AbortSignal;
   readonly onApply: (
     objects: readonly settingsReplica.ReplicatedObject[],
   ) => void;
-  /** Called once, when the view is confirmed. */
+  /** Called once, when the store or enough peers have confirmed the replica. */
   readonly onReady: () => void;
 }
 
@@ -39,18 +39,18 @@
     request: gossipMessage.GossipRequest,
   ): gossipMessage.GossipReply | undefined;
   listMembers(): readonly membership.MemberRecord[];
-  /** Tells the others that this entry is about to stop. */
+  /** Notifies the other entries that this entry is about to stop. */
   publishLeaving(): void;
-  /** Changes the share of keys that this entry should get. */
+  /** Changes the weight of this entry, its share of the keys. */
   setWeight(weight: number): void;
 }
 
-/** Time between two reads of the instance list, as a mean. */
+/** Mean interval between reads of the instance list. */
 const instancesIntervalMs = 5_000;
-/** The same while no other entry is known. */
+/** Mean interval between reads of the instance list without any other member. */
 const aloneIntervalMs = 500;
 
-/** Starts the member; it begins with the instance list and the store. */
+/** Starts the member; it first reads the instance list and the object store. */
 export function startGossipNode(options: GossipNodeOptions): GossipNode {
   const { scheduler, signal, self } = options;
   const member = gossip.createGossipMember({
@@ -89,16 +89,19 @@
       onList: (listed, version) =>
         deliver({
           kind: "store_listed",
-          list: { prefix, version, objects: convertAll(listed) },
+          list: { prefix, version, objects: convertInScope(listed) },
         }),
       onUnavailable(message) {
-        options.logger.warnOnce("store", `The object API is away: ${message}`);
+        options.logger.warnOnce(
+          "store",
+          `The object store is unavailable: ${message}`,
+        );
         deliver({ kind: "store_away" });
       },
     };
   }
 
-  function convertAll(
+  function convertInScope(
     listed: readonly objectStore.StoredObject[],
   ): readonly settingsReplica.ReplicatedObject[] {
     return listed
@@ -106,16 +109,16 @@
       .flatMap(replicaScope.convertStored);
   }
 
-  function listStore(isOnlyConfirming: boolean): void {
-    const ended = new AbortController();
-    const listSignal = AbortSignal.any([signal, ended.signal]);
+  function listStore(isReadinessCheck: boolean): void {
+    const listAbort = new AbortController();
+    const listSignal = AbortSignal.any([signal, listAbort.signal]);
     for (const prefix of replicaScope.replicaPrefixes) {
       const listOptions = createListOptions(prefix, listSignal);
       storeFollower.listPrefix({
         ...listOptions,
         onUnavailable(message) {
           listOptions.onUnavailable?.(message);
-          if (isOnlyConfirming && member.isReady()) ended.abort();
+          if (isReadinessCheck && member.isReady()) listAbort.abort();
         },
       });
     }
@@ -128,7 +131,7 @@
       storeFollower.followPrefix({
         ...createListOptions(prefix, watchSignal),
         onObject: (object) =>
-          deliver({ kind: "store_changed", objects: convertAll([object]) }),
+          deliver({ kind: "store_changed", objects: convertInScope([object]) }),
         onRemoved(key, version) {
           if (!replicaScope.isInScope(key, options.half)) return;
           const removed = { kind: "removed", key, version } as const;
@@ -138,7 +141,7 @@
     }
   }
 
-  function dropRemoved(changed: readonly membership.MemberRecord[]): void {
+  function dropConnections(changed: readonly membership.MemberRecord[]): void {
     for (const { state, controlAddress, id } of changed) {
       if (state !== "removed") continue;
       options.logger.info(`Removed ${id} from the members`);
@@ -166,7 +169,7 @@
       case "set_watching":
         return effect.isWatching ? startWatch() : watch?.abort();
       case "members_changed":
-        return dropRemoved(effect.changed);
+        return dropConnections(effect.changed);
     }
   }
 
@@ -178,7 +181,8 @@
       if (role !== "entry" || half !== options.half) return [];
       if (controlAddress === undefined) return [];
       const { address, failureDomain } = instance;
-      // It is handed out when it says itself that it is ready.
+      // 0 = not ready: callers get the address only after the entry has announced
+      // its own weight.
       const weight = 0;
       return [{ id, address, controlAddress, failureDomain, weight, state }];
     });
--- a/packages/anvilhinge/src/entry/control/gossip_service.ts
+++ b/packages/anvilhinge/src/entry/control/gossip_service.ts
@@ -1,4 +1,4 @@
-/** Serves the gossip of the other entries of the half. */
+/** Serves gossip requests from the other entries of the half. */
 import type * as gossipMessage from "@anvilhinge/coordination/gossip_message";
 import * as connect from "@connectrpc/connect";
 import * as gossipCodec from "../../adapters/gossip_codec.ts";
@@ -6,13 +6,13 @@
 
 export interface GossipServiceOptions {
   readonly half: string;
-  /** Returns undefined while the entry can't take part. */
+  /** Returns undefined while the entry cannot handle gossip requests. */
   readonly handleRequest: (
     request: gossipMessage.GossipRequest,
   ) => gossipMessage.GossipReply | undefined;
 }
 
-/** Creates the routes of the service. */
+/** Creates the routes of the gossip service. */
 export function createGossipRoutes(
   options: GossipServiceOptions,
 ): (router: connect.ConnectRouter) => void {
--- a/packages/anvilhinge/src/entry/control/handover_duty.ts
+++ b/packages/anvilhinge/src/entry/control/handover_duty.ts
@@ -1,8 +1,9 @@
 /**
  * The handover duty of one entry: for each group of its half whose lease it
- * holds, completes moves once all ranks have reported, and creates the first
- * record of a group that the settings define. Works from the present state at
- * intervals, so that a lost event delays a step but does not lose it.
+ * holds, completes moves after all ranks have reported, and creates the first
+ * record of a group that the settings define. Each step is derived periodically
+ * from the current state, so that a lost event delays a step but does not skip
+ * it.
  */
 import * as handover from "@anvilhinge/coordination/handover";
 import * as assignmentCodec from "../../adapters/assignment_codec.ts";
@@ -23,19 +24,19 @@
   | "state"
 >;
 
-/** A group name that several subtrees define before it has an owner. */
+/** A group that several subtrees define and that has no assignment yet. */
 export interface GroupConflict {
   readonly group: string;
-  /** Subtrees that define it, `/<half>/<team>`. */
+  /** Subtrees that define the group, as `/<half>/<team>`. */
   readonly subtrees: readonly string[];
 }
 
 export interface HandoverDuty {
-  /** Takes a report; false unless this entry is in charge of the group. */
+  /** Handles a report; false unless this entry is in charge of the group. */
   report(received: entryClient.GroupReport): Promise<boolean>;
   getProgress(group: string): entryClient.MoveProgress | undefined;
   listConflicts(): readonly GroupConflict[];
-  /** Works until the signal aborts. */
+  /** Starts the periodic updates; they stop when the signal aborts. */
   start(): void;
 }
 
@@ -46,7 +47,7 @@
 
 interface Move {
   readonly machine: handover.Handover;
-  /** Epoch of the leaving record. */
+  /** Epoch of the record with the state `leaving`. */
   readonly epoch: number;
 }
 
@@ -59,15 +60,15 @@
 ): HandoverDuty {
   const { store, scheduler } = entry;
   const moves = new Map<string, Move>();
-  const creating = new Set<string>();
-  const loading = new Map<string, Promise<Move | undefined>>();
+  const groupsInCreation = new Set<string>();
+  const pendingLoads = new Map<string, Promise<Move | undefined>>();
   let conflicts: readonly GroupConflict[] = [];
 
   function countRanks(group: string, half: string): number {
     return entry.catalog.findGroup(group, half)?.ranks.length ?? 0;
   }
 
-  function feed(
+  function deliver(
     group: string,
     machine: handover.Handover,
     event: handover.HandoverEvent,
@@ -96,12 +97,14 @@
               `Moved group ${group} to ${half}, epoch ${epoch}`,
             );
           }
-          if (isCurrent()) feed(group, machine, { kind: "settled", outcome });
+          if (isCurrent()) {
+            deliver(group, machine, { kind: "settled", outcome });
+          }
         });
         return;
       case "set_timer":
         scheduler.schedule(() => {
-          if (isCurrent()) feed(group, machine, { kind: "timer" });
+          if (isCurrent()) deliver(group, machine, { kind: "timer" });
         }, { delayMs: effect.delayMs, signal: options.signal });
         return;
     }
@@ -129,62 +132,63 @@
     });
     const move = { machine, epoch };
     moves.set(group, move);
-    feed(group, machine, { kind: "observed", stored });
+    deliver(group, machine, { kind: "observed", stored });
     return move;
   }
 
-  /** Returns the move at `epoch`, read from the store unless it is known. */
+  /** Returns the move at `epoch` or later; reads it from the store if needed. */
   function findMove(group: string, epoch: number): Promise<Move | undefined> {
-    const known = moves.get(group);
-    if (known !== undefined && known.epoch >= epoch) {
-      return Promise.resolve(known);
+    const loaded = moves.get(group);
+    if (loaded !== undefined && loaded.epoch >= epoch) {
+      return Promise.resolve(loaded);
     }
-    const pending = loading.get(group) ??
-      loadMove(group).finally(() => loading.delete(group));
-    loading.set(group, pending);
+    const pending = pendingLoads.get(group) ??
+      loadMove(group).finally(() => pendingLoads.delete(group));
+    pendingLoads.set(group, pending);
     return pending;
   }
 
   function updateMoves(): void {
-    const leaving = entry.upstreams.listAssignments().filter((known) =>
-      known.state === "leaving" && known.half === entry.settings.half &&
-      options.duties.isHolder(known.group)
+    const leaving = entry.upstreams.listAssignments().filter((assignment) =>
+      assignment.state === "leaving" &&
+      assignment.half === entry.settings.half &&
+      options.duties.isHolder(assignment.group)
     );
     for (const [group, move] of moves) {
-      const present = entry.upstreams.findAssignment(group);
-      const isOver = present !== undefined && present.epoch > move.epoch;
+      const current = entry.upstreams.findAssignment(group);
+      const isOver = current !== undefined && current.epoch > move.epoch;
       if (isOver || !options.duties.isHolder(group)) moves.delete(group);
     }
     for (const { group, epoch, half } of leaving) {
       void findMove(group, epoch).then((move) => {
         const rankCount = countRanks(group, half);
         if (move === undefined || rankCount === 0) return;
-        feed(group, move.machine, { kind: "ranks", rankCount });
+        deliver(group, move.machine, { kind: "ranks", rankCount });
       });
     }
   }
 
   async function createRecord(group: string, half: string): Promise<void> {
-    creating.add(group);
+    groupsInCreation.add(group);
     const changeId = entry.createId();
     const record = handover.buildInitialRecord(group, { half, changeId });
     const outcome = await assignmentWriter.writeRecord(entry, {
       record,
       version: 0,
     });
-    creating.delete(group);
+    groupsInCreation.delete(group);
     if (outcome.kind === "accepted") {
       entry.logger.info(`Assigned the new group ${group} to ${half}`);
     }
   }
 
   function updateGroups(): void {
-    const found: GroupConflict[] = [];
+    const newConflicts: GroupConflict[] = [];
     for (const group of entry.catalog.listGroupNames()) {
       if (entry.upstreams.findAssignment(group) !== undefined) continue;
       const subtrees = entry.catalog.listGroupSubtrees(group);
       if (subtrees.length > 1) {
-        found.push({ group, subtrees });
+        newConflicts.push({ group, subtrees });
         entry.logger.warnOnce(
           `conflict ${group}`,
           `Group ${group} is defined under ${subtrees.join(" and ")}; ` +
@@ -193,11 +197,11 @@
         continue;
       }
       const half = entry.catalog.findDefiningHalf(group);
-      const isMine = half === entry.settings.half &&
-        options.duties.isHolder(group) && !creating.has(group);
-      if (half !== undefined && isMine) void createRecord(group, half);
+      const isResponsible = half === entry.settings.half &&
+        options.duties.isHolder(group) && !groupsInCreation.has(group);
+      if (half !== undefined && isResponsible) void createRecord(group, half);
     }
-    conflicts = found;
+    conflicts = newConflicts;
   }
 
   function updateAll(): void {
@@ -217,7 +221,7 @@
       if (!options.duties.isHolder(group)) return false;
       const move = await findMove(group, epoch);
       if (move === undefined) return false;
-      feed(group, move.machine, { kind: "drained", report: received });
+      deliver(group, move.machine, { kind: "drained", report: received });
       return true;
     },
     getProgress(group) {
--- a/packages/anvilhinge/src/entry/control/handover_duty_test.ts
+++ b/packages/anvilhinge/src/entry/control/handover_duty_test.ts
@@ -1,22 +1,22 @@
 import type * as faults from "../../stand_ins/faults.ts";
 import * as handoverWorld from "../../testing/handover_world.ts";
 
-const patienceMs = 40_000;
+const moveTimeoutMs = 40_000;
 const moved = { half: "water_board", epoch: 3, state: "serving" } as const;
 
-let world: handoverWorld.HandoverWorld;
+let harness: handoverWorld.HandoverWorld;
 
 beforeEach(async () => {
-  world = await handoverWorld.createHandoverWorld();
+  harness = await handoverWorld.createHandoverWorld();
 });
 
 afterEach(async () => {
-  // Lets what runs end, then checks what must hold in every scenario.
-  world.storeFaults.set({ kind: "none" });
-  await world.scheduler.advanceAsync(3_000);
-  world.stop();
-  await world.scheduler.advanceAsync(1_500);
-  const { tally } = world;
+  // Lets the running work end, then checks the invariants of all scenarios.
+  harness.storeFaults.set({ kind: "none" });
+  await harness.scheduler.advanceAsync(3_000);
+  harness.stop();
+  await harness.scheduler.advanceAsync(1_500);
+  const { tally } = harness;
   expect(tally.violations).toEqual([]);
   expect(tally.cut).toBe(0);
   expect(tally.ended).toBe(tally.started);
@@ -24,24 +24,24 @@
 });
 
 function hasMoved(): boolean {
-  const record = world.getRecord();
+  const record = harness.getRecord();
   return record?.epoch === moved.epoch && record.half === moved.half;
 }
 
 function isLeaving(): boolean {
-  return world.getRecord()?.state === "leaving";
+  return harness.getRecord()?.state === "leaving";
 }
 
-/** Waits until the group works for its new half. */
+/** Waits until the group admits work of its new half. */
 async function awaitMove(): Promise<void> {
-  expect(await world.advanceUntil(hasMoved, patienceMs)).toBe(true);
-  await world.scheduler.advanceAsync(2_000);
-  expect(world.getRecord()).toMatchObject(moved);
-  expect(world.tally.admitted["water_board 3"]).toBeGreaterThan(0);
+  expect(await harness.advanceUntil(hasMoved, moveTimeoutMs)).toBe(true);
+  await harness.scheduler.advanceAsync(2_000);
+  expect(harness.getRecord()).toMatchObject(moved);
+  expect(harness.tally.admitted["water_board 3"]).toBeGreaterThan(0);
 }
 
-test("the duty holder creates the record of a group from the settings", () => {
-  expect(world.history).toEqual([{
+test("the duty holder creates the first record of a group in the settings", () => {
+  expect(harness.history).toEqual([{
     group: handoverWorld.group,
     half: "association",
     epoch: 1,
@@ -49,50 +49,51 @@
   }]);
 });
 
-test("a move goes from one half to the other under load, and back", async () => {
-  expect(await world.move("water_board")).toMatchObject({
+test("a group moves to the other half and back under load", async () => {
+  expect(await harness.move("water_board")).toMatchObject({
     status: 200,
     body: { outcome: "accepted", state: "leaving", epoch: 2 },
   });
   await awaitMove();
-  expect(await world.move("association", { by: "water_board" })).toMatchObject({
-    status: 200,
-  });
-  const isBack = () => world.getRecord()?.epoch === 5;
-  expect(await world.advanceUntil(isBack, patienceMs)).toBe(true);
-  expect(world.getRecord()).toMatchObject({ half: "association" });
+  expect(await harness.move("association", { by: "water_board" }))
+    .toMatchObject({
+      status: 200,
+    });
+  const isBack = () => harness.getRecord()?.epoch === 5;
+  expect(await harness.advanceUntil(isBack, moveTimeoutMs)).toBe(true);
+  expect(harness.getRecord()).toMatchObject({ half: "association" });
 });
 
-test("once leaving is in force, the old half is refused within a second", async () => {
-  await world.move("water_board");
-  await world.scheduler.advanceAsync(1_000);
-  const admitted = world.tally.admitted["association 1"];
+test("the old half is refused within a second after leaving is written", async () => {
+  await harness.move("water_board");
+  await harness.scheduler.advanceAsync(1_000);
+  const admitted = harness.tally.admitted["association 1"];
   await awaitMove();
-  expect(world.tally.admitted["association 1"]).toBe(admitted);
-  expect(world.tally.refused.leaving).toBeGreaterThan(0);
+  expect(harness.tally.admitted["association 1"]).toBe(admitted);
+  expect(harness.tally.refused.leaving).toBeGreaterThan(0);
 });
 
-test("only the half that has the group may give it away", async () => {
-  const taken = await world.move("water_board", { by: "water_board" });
+test("only the half that owns a group may move it", async () => {
+  const taken = await harness.move("water_board", { by: "water_board" });
   expect(taken).toMatchObject({ status: 403 });
-  const unknown = await world.entries[0]!.moves.start(
+  const unknown = await harness.entries[0]!.moves.start(
     { group: handoverWorld.group, to: "water_board" },
     { authorization: "Bearer guess", changeId: "change-00000001" },
   );
   expect(unknown).toMatchObject({ status: 403 });
-  expect(world.getRecord()).toMatchObject({ epoch: 1, state: "serving" });
+  expect(harness.getRecord()).toMatchObject({ epoch: 1, state: "serving" });
 });
 
-test("of two operators who race, one wins and the other sees a conflict", async () => {
-  // Each has read the record before either has written it.
-  world.storeFaults.set({ kind: "slow", delayMs: 50 });
-  const asked = [
-    world.move("water_board"),
-    world.move("water_board", { at: 1 }),
+test("of two concurrent moves, one succeeds and the other gets a conflict", async () => {
+  // Both operators read the record before either writes it.
+  harness.storeFaults.set({ kind: "slow", delayMs: 50 });
+  const moves = [
+    harness.move("water_board"),
+    harness.move("water_board", { at: 1 }),
   ];
-  await world.scheduler.advanceAsync(2_000);
-  const answers = await Promise.all(asked);
-  world.storeFaults.set({ kind: "none" });
+  await harness.scheduler.advanceAsync(2_000);
+  const answers = await Promise.all(moves);
+  harness.storeFaults.set({ kind: "none" });
   expect(answers.map((answer) => answer.status).sort()).toEqual([200, 409]);
   const refused = answers.find((answer) => answer.status === 409);
   expect(refused?.body).toMatchObject({
@@ -102,43 +103,43 @@
   await awaitMove();
 });
 
-test("a cancel races with the completion: one of them wins", async () => {
-  await world.move("water_board");
-  world.agents[1]?.setReachable(false);
-  await world.scheduler.advanceAsync(4_000);
+test("of a cancellation and a concurrent completion, only one is applied", async () => {
+  await harness.move("water_board");
+  harness.agents[1]?.setReachable(false);
+  await harness.scheduler.advanceAsync(4_000);
   expect(isLeaving()).toBe(true);
-  world.agents[1]?.setReachable(true);
-  const cancelled = await world.move("association");
+  harness.agents[1]?.setReachable(true);
+  const cancelled = await harness.move("association");
   expect(cancelled).toMatchObject({ status: 200, body: { epoch: 3 } });
-  await world.scheduler.advanceAsync(10_000);
-  expect(world.getRecord()).toMatchObject({ half: "association", epoch: 3 });
-  expect(world.tally.admitted["association 3"]).toBeGreaterThan(0);
-  const late = await world.move("association");
+  await harness.scheduler.advanceAsync(10_000);
+  expect(harness.getRecord()).toMatchObject({ half: "association", epoch: 3 });
+  expect(harness.tally.admitted["association 3"]).toBeGreaterThan(0);
+  const late = await harness.move("association");
   expect(late).toMatchObject({ status: 200, body: { outcome: "unchanged" } });
 });
 
-test("a move waits for an agent that is unreachable, and says so", async () => {
-  world.agents[1]?.setReachable(false);
-  await world.move("water_board");
-  await world.scheduler.advanceAsync(patienceMs);
+test("a move waits for an unreachable agent and reports it", async () => {
+  harness.agents[1]?.setReachable(false);
+  await harness.move("water_board");
+  await harness.scheduler.advanceAsync(moveTimeoutMs);
   expect(isLeaving()).toBe(true);
-  for (const entry of world.entries) {
-    const shown = entry.moves.describe(handoverWorld.group);
-    await world.scheduler.advanceAsync(100);
-    expect(await shown).toMatchObject({
+  for (const entry of harness.entries) {
+    const description = entry.moves.describe(handoverWorld.group);
+    await harness.scheduler.advanceAsync(100);
+    expect(await description).toMatchObject({
       status: 200,
       body: { outcome: "pending", waitingFor: [1] },
     });
   }
-  world.agents[1]?.setReachable(true);
+  harness.agents[1]?.setReachable(true);
   await awaitMove();
 });
 
-test("any entry of either half passes a report on to the one in charge", async () => {
-  world.agents[1]?.setReachable(false);
-  await world.move("water_board");
-  await world.scheduler.advanceAsync(3_000);
-  const holder = world.getHolder("association");
+test("every entry of both halves forwards a report to the entry in charge", async () => {
+  harness.agents[1]?.setReachable(false);
+  await harness.move("water_board");
+  await harness.scheduler.advanceAsync(3_000);
+  const holder = harness.getHolder("association");
   const report = {
     group: handoverWorld.group,
     rank: 0,
@@ -146,39 +147,39 @@
     epoch: 2,
     forwarded: false,
   };
-  for (const entry of world.entries) {
+  for (const entry of harness.entries) {
     expect(await entry.duties.report(report)).toBe(true);
     const forwarded = { ...report, forwarded: true };
     expect(await entry.duties.report(forwarded)).toBe(entry === holder);
   }
 });
 
-test("a holder that dies in the middle is followed by another", async () => {
-  world.agents[1]?.setReachable(false);
-  await world.move("water_board");
-  await world.scheduler.advanceAsync(3_000);
-  const first = world.getHolder("association");
+test("another entry takes over from a duty holder that crashes during a move", async () => {
+  harness.agents[1]?.setReachable(false);
+  await harness.move("water_board");
+  await harness.scheduler.advanceAsync(3_000);
+  const first = harness.getHolder("association");
   first?.kill();
-  world.agents[1]?.setReachable(true);
+  harness.agents[1]?.setReachable(true);
   await awaitMove();
-  expect(world.getHolder("association")).not.toBe(first);
+  expect(harness.getHolder("association")).not.toBe(first);
 });
 
-test("an agent that restarts while leaving admits nothing of the old half", async () => {
-  const [stale] = world.entries;
+test("an agent that restarts during a move admits no work of the old half", async () => {
+  const [stale] = harness.entries;
   stale?.setStale(true);
-  world.agents[1]?.setReachable(false);
-  await world.move("water_board");
-  await world.scheduler.advanceAsync(3_000);
-  // The stale entry's word arrives before the answer of the store.
-  world.storeFaults.set({ kind: "slow", delayMs: 500 });
-  world.agents[0]?.restart([stale!]);
-  const hasWork = () => world.agents[0]!.getTable().countRunning() > 0;
-  expect(await world.advanceUntil(hasWork, 2_000)).toBe(false);
-  expect(world.agents[0]?.getTable().getAssignment()).toMatchObject({
+  harness.agents[1]?.setReachable(false);
+  await harness.move("water_board");
+  await harness.scheduler.advanceAsync(3_000);
+  // The assignment from the stale entry arrives before the store's answer.
+  harness.storeFaults.set({ kind: "slow", delayMs: 500 });
+  harness.agents[0]?.restart([stale!]);
+  const hasWork = () => harness.agents[0]!.getTable().countRunning() > 0;
+  expect(await harness.advanceUntil(hasWork, 2_000)).toBe(false);
+  expect(harness.agents[0]?.getTable().getAssignment()).toMatchObject({
     state: "leaving",
   });
-  for (const agent of world.agents) agent.setReachable(true);
+  for (const agent of harness.agents) agent.setReachable(true);
   await awaitMove();
 });
 
@@ -196,64 +197,67 @@
 );
 
 test.each(lostWrites)("write of %s under the fault %j", async (name, fault) => {
-  world.faultsOfWrites.set(name, fault);
-  const asked = world.move("water_board");
-  await world.scheduler.advanceAsync(3_000);
-  const answer = await asked;
+  harness.faultsOfWrites.set(name, fault);
+  const pending = harness.move("water_board");
+  await harness.scheduler.advanceAsync(3_000);
+  const answer = await pending;
   const isRefused = name.startsWith("leaving") && fault.kind === "down";
   expect(answer.status).toBe(isRefused ? 503 : 200);
-  // What was told as not changed has indeed not changed.
+  // A write that was answered as not applied must indeed not be applied.
   if (isRefused) {
-    expect(world.getRecord()).toMatchObject({ epoch: 1 });
-    await world.move("water_board");
+    expect(harness.getRecord()).toMatchObject({ epoch: 1 });
+    await harness.move("water_board");
   }
   await awaitMove();
-  expect(world.history).toHaveLength(3);
+  expect(harness.history).toHaveLength(3);
 });
 
 const phases: readonly (readonly [string, () => boolean])[] = [
   ["before the move", () => true],
   ["when leaving is written", isLeaving],
   [
-    "when all ranks know it",
+    "when all ranks have received it",
     () =>
-      world.agents.every((agent) =>
+      harness.agents.every((agent) =>
         agent.getTable().getAssignment()?.state === "leaving"
       ),
   ],
-  ["when the move is done", hasMoved],
+  ["when the move is complete", hasMoved],
 ];
 
-test.each(phases)("the store goes away %s", async (name, hasBegun) => {
-  const isBefore = name === "before the move";
-  if (!isBefore) await world.move("water_board");
-  await world.advanceUntil(hasBegun, patienceMs);
-  world.storeFaults.set({ kind: "down" });
-  const started = world.tally.started;
-  await world.scheduler.advanceAsync(15_000);
-  if (isBefore) {
-    expect(await world.move("water_board")).toMatchObject({ status: 503 });
-    expect(world.tally.started).toBeGreaterThan(started);
-  }
-  world.storeFaults.set({ kind: "none" });
-  await world.scheduler.advanceAsync(12_000);
-  if (isBefore) await world.move("water_board");
-  await awaitMove();
-});
+test.each(phases)(
+  "store outage %s",
+  async (name, hasBegun) => {
+    const isBefore = name === "before the move";
+    if (!isBefore) await harness.move("water_board");
+    await harness.advanceUntil(hasBegun, moveTimeoutMs);
+    harness.storeFaults.set({ kind: "down" });
+    const started = harness.tally.started;
+    await harness.scheduler.advanceAsync(15_000);
+    if (isBefore) {
+      expect(await harness.move("water_board")).toMatchObject({ status: 503 });
+      expect(harness.tally.started).toBeGreaterThan(started);
+    }
+    harness.storeFaults.set({ kind: "none" });
+    await harness.scheduler.advanceAsync(12_000);
+    if (isBefore) await harness.move("water_board");
+    await awaitMove();
+  },
+);
 
 test.each(phases)(
-  "entries keep the view they had %s",
+  "entries keep a stale view %s",
   async (_name, hasBegun) => {
-    const [stale] = world.listOf("association");
-    const [other] = world.listOf("water_board");
-    if (hasBegun !== phases[0]?.[1]) await world.move("water_board");
-    await world.advanceUntil(hasBegun, patienceMs);
+    const [stale] = harness.listOf("association");
+    const [other] = harness.listOf("water_board");
+    if (hasBegun !== phases[0]?.[1]) await harness.move("water_board");
+    await harness.advanceUntil(hasBegun, moveTimeoutMs);
     stale?.setStale(true);
     other?.setStale(true);
-    await world.move("water_board", { at: 1 });
-    expect(await world.advanceUntil(hasMoved, patienceMs)).toBe(true);
-    // The stale entries go on sending; the invariants are checked for each.
-    await world.scheduler.advanceAsync(5_000);
-    expect(world.getRecord()).toMatchObject(moved);
+    await harness.move("water_board", { at: 1 });
+    expect(await harness.advanceUntil(hasMoved, moveTimeoutMs)).toBe(true);
+    // The stale entries continue to dispatch; their requests are checked too.
+    await harness.scheduler.advanceAsync(5_000);
+    expect(harness.getRecord()).toMatchObject(moved);
   },
 );
--- a/packages/anvilhinge/src/entry/control/replica_applier.ts
+++ b/packages/anvilhinge/src/entry/control/replica_applier.ts
@@ -1,6 +1,6 @@
 /**
- * Brings replicated objects into force: settings into the entry's catalog,
- * assignments into its table of upstreams.
+ * Applies replicated objects at an entry: settings to its catalog, assignments to
+ * its upstream table.
  */
 import type * as assignment from "@anvilhinge/coordination/assignment";
 import type * as settingsReplica from "@anvilhinge/coordination/settings_replica";
@@ -17,7 +17,7 @@
   readonly onAssignment: (received: assignment.Assignment) => void;
 }
 
-/** Applies objects in their order; versions of a key must rise. */
+/** Applies objects in the given order; the versions of a key must increase. */
 export interface ReplicaApplier {
   apply(changed: readonly settingsReplica.ReplicatedObject[]): void;
 }
@@ -35,14 +35,14 @@
   }
 }
 
-/** Creates the view of one entry. */
+/** Creates the applier of one entry. */
 export function createReplicaApplier(
   { entry, onAssignment }: ReplicaApplierOptions,
 ): ReplicaApplier {
   function updateGroup(name: string): void {
-    const home = entry.catalog.findDefiningHalf(name);
-    const owner = entry.upstreams.findAssignment(name)?.half ?? home;
-    const group = entry.catalog.findGroup(name, owner ?? "");
+    const definingHalf = entry.catalog.findDefiningHalf(name);
+    const half = entry.upstreams.findAssignment(name)?.half ?? definingHalf;
+    const group = entry.catalog.findGroup(name, half ?? "");
     if (group === undefined) {
       entry.upstreams.removeGroup(name);
       return;
--- a/packages/anvilhinge/src/entry/control/replica_scope.ts
+++ b/packages/anvilhinge/src/entry/control/replica_scope.ts
@@ -1,7 +1,8 @@
 /**
- * What the entries of a half keep in their replicas: the settings of the half,
- * the groups of all halves, and all assignments. A group that moves needs its
- * definition under the other half's path; nothing else crosses over.
+ * Scope of the settings replicas of a half's entries: the settings of the half,
+ * the groups of all halves, and all assignments. A group that moves to another
+ * half is still defined under the path of its first half. Nothing else is shared
+ * between the halves.
  */
 import type * as settingsReplica from "@anvilhinge/coordination/settings_replica";
 import * as assignmentCodec from "../../adapters/assignment_codec.ts";
@@ -9,13 +10,13 @@
 import * as objects from "../../settings/objects.ts";
 import * as record from "../../settings/record.ts";
 
-/** Prefixes of the object API that are read. */
+/** Prefixes of the object store that are replicated. */
 export const replicaPrefixes: readonly string[] = [
   `${record.settingsPrefix}/`,
   assignmentCodec.assignmentPrefix,
 ];
 
-/** Returns whether entries of `half` keep the key. */
+/** Returns whether the entries of `half` replicate the key. */
 export function isInScope(key: string, half: string): boolean {
   if (key.startsWith(assignmentCodec.assignmentPrefix)) return true;
   const path = record.parseKey(key);
@@ -27,9 +28,9 @@
 }
 
 /**
- * Converts a stored object to what is replicated: the text of settings without
- * their history, and an assignment as JSON. An object that isn't what its key
- * says is left out.
+ * Converts a stored object to its replicated form: the text of settings without
+ * their history, or an assignment as JSON. Settings objects that can't be parsed
+ * are skipped.
  */
 export function convertStored(
   { key, value, version }: objectStore.StoredObject,
--- a/packages/anvilhinge/src/entry/control/roster_node.ts
+++ b/packages/anvilhinge/src/entry/control/roster_node.ts
@@ -1,4 +1,4 @@
-/** Runs the entry's roster: sends its messages and feeds what arrives. */
+/** Runs the entry's roster: sends its messages and handles received messages. */
 import type * as clock from "@anvilhinge/coordination/clock";
 import * as roster from "@anvilhinge/coordination/roster";
 import type * as datagrams from "../../adapters/datagrams.ts";
@@ -6,7 +6,7 @@
 import type * as logger from "../../telemetry/logger.ts";
 import type * as routingView from "../routing/routing_view.ts";
 
-/** What an entry tells the others of itself. */
+/** Details of an entry, sent to the other entries. */
 export interface EntryDetails {
   /** Address for callers as `host:port`. */
   readonly callers: string;
@@ -27,7 +27,7 @@
   readonly self: Omit<EntryMember, "revision">;
   readonly seeds: readonly string[];
   readonly scheduler: scheduler.Scheduler;
-  /** Counts time in which the machine was suspended too. */
+  /** Clock that also advances while the machine is suspended. */
   readonly elapsed: clock.Clock;
   readonly readHubStatus: () => routingView.ViewStatus;
   readonly onHubStatus: (
@@ -41,14 +41,14 @@
 export interface RosterNode {
   handle(message: RosterMessage): void;
   setState(state: Pick<EntryDetails, "isReady" | "isLeaving">): void;
-  /** Adds addresses of entries, after the settings named new ones. */
+  /** Adds addresses of entries that were added to the settings. */
   addSeeds(addresses: readonly string[]): void;
   listLive(): readonly EntryMember[];
   getHub(): EntryMember;
   isHub(): boolean;
 }
 
-/** Starts the roster; it sends from its first tick on. */
+/** Starts the roster; it sends its first messages at the first tick. */
 export function startRosterNode(options: RosterNodeOptions): RosterNode {
   const { scheduler, signal, logger } = options;
   const core = roster.createRoster<EntryDetails, routingView.ViewStatus>({
@@ -59,32 +59,35 @@
     seeds: options.seeds,
   });
   let { details } = options.self;
-  let shownHub: string | undefined;
-  let shownLive = "";
+  let loggedHubId: string | undefined;
+  let loggedIds = "";
 
   function send(sends: Sends): void {
     for (const { to, message } of sends) options.sockets.send(message, to);
   }
 
-  /** Logs what changed in the belief of who is there. */
-  function showChanges(): void {
+  /** Logs changes of the hub and of the entries that accept requests. */
+  function writeMembershipLog(): void {
     const hub = core.getHub().id;
-    if (hub !== shownHub) {
-      shownHub = hub;
-      logger.info("The hub is", { hub, isOwn: core.isHub() });
+    if (hub !== loggedHubId) {
+      loggedHubId = hub;
+      logger.info("Hub changed", { hub, isOwn: core.isHub() });
     }
     const ids = core.listLive()
       .filter(({ details: { isReady, isLeaving } }) => isReady && !isLeaving)
       .map(({ id }) => id);
     const live = [...ids].sort().join(" ");
-    if (live === shownLive) return;
-    shownLive = live;
-    logger.info("Entries that take requests", { count: ids.length, ids });
+    if (live === loggedIds) return;
+    loggedIds = live;
+    logger.info("Entries that accept requests changed", {
+      count: ids.length,
+      ids,
+    });
   }
 
   function tick(): void {
     send(core.tick());
-    showChanges();
+    writeMembershipLog();
     scheduler.schedule(tick, { delayMs: roster.tickMs, signal });
   }
 
--- a/packages/anvilhinge/src/entry/control/store_follower.ts
+++ b/packages/anvilhinge/src/entry/control/store_follower.ts
@@ -1,6 +1,7 @@
 /**
- * Reads all keys below a prefix of the object API: lists, then watches, and
- * lists again with a randomized delay when the watch ends.
+ * Reads all keys below a prefix of the object store: lists them, then watches for
+ * changes. After the watch ends, it is resumed, or the prefix is listed again,
+ * with a randomized delay.
  */
 import * as backoff from "@anvilhinge/coordination/backoff";
 import type * as random from "@anvilhinge/coordination/random";
@@ -12,55 +13,55 @@
   readonly scheduler: scheduler.Scheduler;
   readonly random: random.RandomSource;
   readonly prefix: string;
-  /** Ends all reading. */
+  /** Stops all reads. */
   readonly signal: AbortSignal;
-  /** Called with each complete list and the version that it is good for. */
+  /** Called with each complete list and the store version that it reflects. */
   readonly onList: (
     objects: readonly objectStore.StoredObject[],
     version: number,
   ) => void;
   /**
-   * Called when the store said that nothing newer existed at that instant of
-   * the scheduler's clock.
+   * Called when the store has confirmed that nothing newer existed at this time
+   * of the scheduler's clock.
    */
   readonly onConfirmed?: (asOfMs: number) => void;
-  /** Called when the store could not be reached. */
+  /** Called when the store was unavailable or the watch ended. */
   readonly onUnavailable?: (message: string) => void;
   /**
-   * Mean wait before the next list, in milliseconds; it doubles with each
-   * failure up to 32 times this and is randomized.
+   * Mean delay before the first retry, in milliseconds. The delay is randomized
+   * and doubles with each failure, by default up to 32 times this value.
    * @default 250
    */
   readonly retryDelayMs?: number;
   /**
-   * Doublings after which the wait stops to grow.
+   * Number of doublings after which the delay no longer grows.
    * @default 5
    */
   readonly maxDoublings?: number;
 }
 
 export interface FollowOptions extends ListOptions {
-  /** Returns the longest time to the next confirmation, in milliseconds. */
+  /** Returns the maximum time until the next confirmation, in milliseconds. */
   readonly getConfirmIntervalMs?: () => number | undefined;
-  /** Time for which events are collected, in milliseconds. */
+  /** Time for which events are batched, in milliseconds. */
   readonly batchWindowMs?: number;
-  /** Version from which to watch without a list. Default: lists first. */
+  /** Version from which to watch without a list. Default: list first. */
   readonly startVersion?: number;
-  /** Called for each change after a list; changes may repeat. */
+  /** Called for each change after a list; a change may be repeated. */
   readonly onObject: (object: objectStore.StoredObject) => void;
   readonly onRemoved?: (key: string, version: number) => void;
 }
 
 const defaultRetryDelayMs = 250;
 
-interface Retries {
-  /** Tells of a failure and runs the task later, each time with more delay. */
+interface RetryScheduler {
+  /** Reports a failure and schedules the task with an exponential delay. */
   schedule(message: string, task: () => void): void;
-  /** Begins anew with the shortest delay. */
+  /** Resets the delay to its minimum after a success. */
   reset(): void;
 }
 
-function createRetries(options: ListOptions): Retries {
+function createRetryScheduler(options: ListOptions): RetryScheduler {
   let failures = 0;
   return {
     schedule(message, task) {
@@ -81,9 +82,9 @@
   };
 }
 
-/** Lists the prefix once; tries again until it succeeds. */
+/** Lists the prefix once; retries until it succeeds. */
 export function listPrefix(options: ListOptions): void {
-  const retries = createRetries(options);
+  const retries = createRetryScheduler(options);
 
   async function list(): Promise<void> {
     const asOfMs = options.scheduler.now();
@@ -102,8 +103,8 @@
 /** Follows the prefix until the signal aborts. */
 export function followPrefix(options: FollowOptions): void {
   const { signal } = options;
-  /** Watches in a row that ended without a word of the store. */
-  const retries = createRetries(options);
+  // Counts consecutive watches that ended without an event from the store.
+  const retries = createRetryScheduler(options);
 
   function listAndWatch(): void {
     listPrefix({
@@ -141,7 +142,7 @@
     });
   }
 
-  /** Watches from a version; lists first without one. */
+  /** Starts to watch from a version. Without a version, lists first. */
   function startFrom(version: number | undefined): void {
     if (version === undefined) listAndWatch();
     else startWatch(version);
--- a/packages/anvilhinge/src/entry/routing/routing_view_test.ts
+++ b/packages/anvilhinge/src/entry/routing/routing_view_test.ts
@@ -30,7 +30,7 @@
       list(prefix: string) {
         listCalls += 1;
         const outcome: objectStore.ListOutcome = isUnavailable
-          ? { kind: "unavailable", message: "away" }
+          ? { kind: "unavailable", message: "unavailable" }
           : {
             kind: "listed",
             version,
@@ -69,7 +69,7 @@
       for (const prefix of ["config/", "servers/"]) {
         findWatch(prefix)?.options.onEvent({
           kind: "closed",
-          message: "away",
+          message: "unavailable",
           resumeFrom: version,
         });
       }
@@ -216,7 +216,7 @@
   fake.setUnavailable(false);
   // The watch resumes, but the store has lost the history of the outage.
   await scheduler.advanceAsync(1_500);
-  fake.emit("servers/", { kind: "closed", message: "history is gone" });
+  fake.emit("servers/", { kind: "closed", message: "history has expired" });
   await scheduler.advanceAsync(500);
   expect(getUpstreams()).toEqual(["u1 serving", "u2 serving"]);
   fake.emit("servers/", {
@@ -244,11 +244,11 @@
 test("the hub's status confirms a view that has all versions", async () => {
   const { scheduler, view } = await createView();
   await scheduler.advanceAsync(1_000);
-  const hubStatus = view.readStatus();
+  const ownStatus = view.readStatus();
   const sentAtMs = scheduler.now() - 50;
   view.applyHubStatus({
-    ...hubStatus,
-    routing: { version: hubStatus.routing.version, ageMs: 100 },
+    ...ownStatus,
+    routing: { version: ownStatus.routing.version, ageMs: 100 },
   }, sentAtMs);
   expect(view.getAgeMs()).toBe(150);
 });
@@ -258,24 +258,24 @@
   await scheduler.advanceAsync(1_000);
   const listCalls = fake.countListCalls();
   const version = fake.put("config/main", 2);
-  const hubStatus = view.readStatus();
-  const status = { ...hubStatus, routing: { version, ageMs: 0 } };
-  view.applyHubStatus(status, scheduler.now());
+  const ownStatus = view.readStatus();
+  const hubStatus = { ...ownStatus, routing: { version, ageMs: 0 } };
+  view.applyHubStatus(hubStatus, scheduler.now());
   expect(view.getAgeMs()).toBeGreaterThan(900);
   // The watch of this entry is stalled: it delivers no events.
   await scheduler.advanceAsync(600);
   expect(fake.countListCalls()).toBe(listCalls + 1);
   expect(listVersions()).toEqual([1, 2]);
-  view.applyHubStatus(status, scheduler.now());
+  view.applyHubStatus(hubStatus, scheduler.now());
   expect(view.getAgeMs()).toBeLessThan(10);
 });
 
 test("only the hub, or an entry without its status, requests confirmations", async () => {
   const { fake, scheduler, view } = await createView();
   const applyFreshStatus = () => {
-    const hubStatus = view.readStatus();
-    const fresh = { version: hubStatus.routing.version, ageMs: 10 };
-    const upstreams = { version: hubStatus.upstreams.version, ageMs: 10 };
+    const ownStatus = view.readStatus();
+    const fresh = { version: ownStatus.routing.version, ageMs: 10 };
+    const upstreams = { version: ownStatus.upstreams.version, ageMs: 10 };
     view.applyHubStatus({ routing: fresh, upstreams }, scheduler.now());
   };
   for (let tick = 0; tick < 10; tick += 1) {
