--- a/packages/anvilhinge/src/entry/choice/dispatch_policy.ts
+++ b/packages/anvilhinge/src/entry/choice/dispatch_policy.ts
@@ -131,9 +131,7 @@
   });
 
   function checkStalls(): void {
-    for (const upstreamId of watch.detectStalled()) {
-      upstreamHealth.recordStall(upstreamId);
-    }
+    for (const id of watch.detectStalled()) upstreamHealth.recordStall(id);
     clock.schedule(checkStalls, { delayMs: stallCheckIntervalMs, signal });
   }
 
--- a/packages/anvilhinge/src/entry/control/control_service.ts
+++ b/packages/anvilhinge/src/entry/control/control_service.ts
@@ -34,9 +34,9 @@
   const followers = new Map<string, Set<Follower>>();
 
   function getFollowers(group: string): Set<Follower> {
-    const groupFollowers = followers.get(group) ?? new Set();
-    followers.set(group, groupFollowers);
-    return groupFollowers;
+    const queues = followers.get(group) ?? new Set();
+    followers.set(group, queues);
+    return queues;
   }
 
   async function* follow(
@@ -46,15 +46,15 @@
     const queue: Follower = streamQueue.createStreamQueue(signal);
     const current = options.findAssignment(group);
     if (current !== undefined) queue.push(current);
-    const groupFollowers = getFollowers(group);
-    groupFollowers.add(queue);
+    const queues = getFollowers(group);
+    queues.add(queue);
     try {
       for await (const received of queue) {
         yield assignmentCodec.encodeAssignment(received);
       }
     } finally {
-      groupFollowers.delete(queue);
-      if (groupFollowers.size === 0) followers.delete(group);
+      queues.delete(queue);
+      if (queues.size === 0) followers.delete(group);
     }
   }
 
@@ -83,9 +83,7 @@
     },
     countFollowers() {
       let count = 0;
-      for (const groupFollowers of followers.values()) {
-        count += groupFollowers.size;
-      }
+      for (const queues of followers.values()) count += queues.size;
       return count;
     },
   };
--- a/packages/anvilhinge/src/entry/control/handover_duty.ts
+++ b/packages/anvilhinge/src/entry/control/handover_duty.ts
@@ -68,7 +68,7 @@
     return entry.catalog.findGroup(group, half)?.ranks.length ?? 0;
   }
 
-  function deliver(
+  function feed(
     group: string,
     machine: handover.Handover,
     event: handover.HandoverEvent,
@@ -97,14 +97,12 @@
               `Moved group ${group} to ${half}, epoch ${epoch}`,
             );
           }
-          if (isCurrent()) {
-            deliver(group, machine, { kind: "settled", outcome });
-          }
+          if (isCurrent()) feed(group, machine, { kind: "settled", outcome });
         });
         return;
       case "set_timer":
         scheduler.schedule(() => {
-          if (isCurrent()) deliver(group, machine, { kind: "timer" });
+          if (isCurrent()) feed(group, machine, { kind: "timer" });
         }, { delayMs: effect.delayMs, signal: options.signal });
         return;
     }
@@ -132,7 +130,7 @@
     });
     const move = { machine, epoch };
     moves.set(group, move);
-    deliver(group, machine, { kind: "observed", stored });
+    feed(group, machine, { kind: "observed", stored });
     return move;
   }
 
@@ -163,7 +161,7 @@
       void findMove(group, epoch).then((move) => {
         const rankCount = countRanks(group, half);
         if (move === undefined || rankCount === 0) return;
-        deliver(group, move.machine, { kind: "ranks", rankCount });
+        feed(group, move.machine, { kind: "ranks", rankCount });
       });
     }
   }
@@ -221,7 +219,7 @@
       if (!options.duties.isHolder(group)) return false;
       const move = await findMove(group, epoch);
       if (move === undefined) return false;
-      deliver(group, move.machine, { kind: "drained", report: received });
+      feed(group, move.machine, { kind: "drained", report: received });
       return true;
     },
     getProgress(group) {
