--- a/packages/anvilhinge/src/entry/choice/addresses.ts
+++ b/packages/anvilhinge/src/entry/choice/addresses.ts
@@ -1,7 +1,7 @@
 /**
- * Selects the entries that the callers of a workspace should use. All entries of
- * a half that have an equal list of members select the same entries, because the
- * selection depends only on the workspace and the members.
+ * Selects the entries that the callers of a workspace should use. All entries
+ * of a half that have an equal list of members select the same entries, because
+ * the selection depends only on the workspace and the members.
  */
 import * as rendezvous from "@anvilhinge/coordination/rendezvous";
 import type * as random from "@anvilhinge/coordination/random";
@@ -46,7 +46,7 @@
 
 /** Maximum number of addresses in an answer. */
 export const maxAddressCount = 3;
-/** Spreads the time to live over 75% to 100% so that refreshes do not coincide. */
+/** Spreads the time to live over 75% to 100%, so that refreshes are spread. */
 const jitterShare = 0.25;
 
 /** Returns the live entries, or the suspected entries if none is live. */
@@ -60,8 +60,8 @@
 }
 
 /**
- * Selects the entries of a workspace with the highest rendezvous scores. Each is
- * in a different failure domain as long as there are unused domains.
+ * Selects the entries of a workspace with the highest rendezvous scores. Each
+ * is in a different failure domain as long as there are unused domains.
  */
 export function selectEntries(
   members: readonly EntryMember[],
--- a/packages/anvilhinge/src/entry/choice/dispatch_policy.ts
+++ b/packages/anvilhinge/src/entry/choice/dispatch_policy.ts
@@ -1,7 +1,7 @@
 /**
- * Dispatch policy of one entry: selects upstreams, tracks their health, enforces
- * workspace limits and grants retries. Composes modules of the coordination
- * package and records the events of each request in them.
+ * Dispatch policy of one entry: selects upstreams, tracks their health,
+ * enforces workspace limits and grants retries. Composes modules of the
+ * coordination package and records the events of each request in them.
  */
 import * as health from "@anvilhinge/coordination/health";
 import type * as limits from "@anvilhinge/coordination/limits";
@@ -50,7 +50,7 @@
   readonly upstreams: upstreams.UpstreamTable;
   /** Admits or refuses a new request; `RequestPolicy.end` releases it. */
   admit(workspace: string): limits.AdmitOutcome;
-  /** Creates a request's policy; `isAdmitted` is false for a resumed request. */
+  /** Creates a request's policy; `isAdmitted` is false for resumed requests. */
   startRequest(
     request: session.Request,
     options: { readonly need: upstreams.Need; readonly isAdmitted: boolean },
@@ -66,10 +66,10 @@
 }
 
 const stallCheckIntervalMs = 250;
-/** Decoded part of a request body; it contains the hashed part of the prompt. */
+/** Part of a body to decode; it contains the hashed part of the prompt. */
 const maxPrefixBytes = 16 * 1024;
 
-/** Hashes the start of a model request's prompt; other requests have no keys. */
+/** Hashes the start of a model request's prompt; returns [] for services. */
 function computePrefixKeys(
   request: session.Request,
   need: upstreams.Need,
@@ -153,11 +153,7 @@
       const { upstreamId, sentAtMs } = current;
       current = undefined;
       if (isWatched) watch.end(upstreamId);
-      table.recordOutcome(upstreamId, {
-        ...outcome,
-        sentAtMs,
-        prefixKeys,
-      });
+      table.recordOutcome(upstreamId, { ...outcome, sentAtMs, prefixKeys });
     }
 
     function watchStream(
@@ -168,7 +164,7 @@
         onFrame(frame) {
           if (current !== undefined) watch.recordProgress(current.upstreamId);
           const { body } = frame;
-          // The agent is up but its engine is not: the attempt counts as failed.
+          // Only the agent is up, not its engine: the attempt counts as failed.
           isEngineDown = body.kind === "refused" &&
             body.reason === "engine_unavailable";
           if (isWatched && frame.body.kind === "chunk") {
--- a/packages/anvilhinge/src/entry/choice/load_weight.ts
+++ b/packages/anvilhinge/src/entry/choice/load_weight.ts
@@ -1,7 +1,7 @@
 /**
- * Weight of an entry: its share of the workspaces, computed from the utilization
- * of its event loop. The weight changes in few steps with hysteresis, because
- * each change moves workspaces to other entries.
+ * Weight of an entry: its share of the workspaces, computed from the
+ * utilization of its event loop. The weight changes in few steps with
+ * hysteresis, because each change moves workspaces to other entries.
  */
 
 /** Weight of an entry that is not under load. */
--- a/packages/anvilhinge/src/entry/choice/routed_policy.ts
+++ b/packages/anvilhinge/src/entry/choice/routed_policy.ts
@@ -1,6 +1,6 @@
 /**
- * Dispatch policy of one entry for requests of routed services: assigns a slot of
- * an upstream to each request and decides whether the retry budget permits
+ * Dispatch policy of one entry for requests of routed services: assigns a slot
+ * of an upstream to each request and decides whether the retry budget permits
  * another attempt. A slot is a unit of an upstream's concurrency.
  */
 import type * as workHub from "@anvilhinge/coordination/dispatch/work_hub";
@@ -74,7 +74,7 @@
   setUpstreams(upstreams: readonly routing.ListedUpstream[]): void;
   startRequest(
     request: RoutedRequest,
-    decide: DecisionHandler,
+    onDecision: DecisionHandler,
   ): RoutedRequestPolicy;
   handleMessage(message: slotCoordinator.DispatchMessage, from: string): void;
   countRetriesLeft(): number;
@@ -113,7 +113,7 @@
 }
 
 interface PendingSlotRequest {
-  readonly decide: (
+  readonly resolve: (
     event: Parameters<DecisionHandler>[0],
     by: workClient.WorkEvent["by"],
   ) => void;
@@ -177,17 +177,20 @@
     if (event.kind === "denied") {
       const reason = `No place is expected soon (said by the ${event.by})`;
       const { retryAfterMs } = event;
-      return request.decide({ kind: "denied", reason, retryAfterMs }, event.by);
+      return request.resolve(
+        { kind: "denied", reason, retryAfterMs },
+        event.by,
+      );
     }
     const granted = tracked.get(event.upstreamId);
     if (granted === undefined) {
       slots.drop(event.key);
       const reason = `Upstream ${event.upstreamId} has gone`;
       const denied = { kind: "denied", reason, retryAfterMs: 0 } as const;
-      return request.decide(denied, event.by);
+      return request.resolve(denied, event.by);
     }
     const { upstream } = granted;
-    request.decide({ kind: "granted", upstream }, event.by);
+    request.resolve({ kind: "granted", upstream }, event.by);
   }
 
   function listUsable(service: string): readonly TrackedUpstream[] {
@@ -196,7 +199,7 @@
     );
   }
 
-  /** Finds the lowest gap target of the routes to a service, in milliseconds. */
+  /** Finds the lowest gap target of a service's routes, in milliseconds. */
   function findGapTargetMs(service: string): number {
     const targets = routes
       .filter((route) =>
@@ -236,8 +239,8 @@
   }
 
   /**
-   * Chooses the upstream with the fewest open attempts of this entry, for services
-   * without engines.
+   * Chooses an upstream with the fewest open attempts of this entry; used for
+   * services without engines.
    */
   function chooseLeastLoaded(
     service: string,
@@ -266,7 +269,7 @@
 
   function startRequest(
     request: RoutedRequest,
-    decide: DecisionHandler,
+    onDecision: DecisionHandler,
   ): RoutedRequestPolicy {
     const engine = services.get(request.service)?.engine;
     const arrivedAtMs = clock.now();
@@ -315,10 +318,10 @@
         .filter((id) => !upstreamHealth.isAvailable(id));
       const nowMs = clock.now();
       pending.set(key, {
-        decide(event, by) {
+        resolve(event, by) {
           decidedBy = by;
           waitedMs += clock.now() - nowMs;
-          decide(event);
+          onDecision(event);
         },
       });
       slots.requestSlot({
@@ -372,7 +375,7 @@
         });
       },
       recordOutcome({ upstream, outcome }) {
-        // Only the ended attempt is released: the next may already wait for a slot.
+        // Keeps a pending slot request: it may belong to the next attempt.
         releaseAttempt();
         const last = attempts.at(-1);
         if (last !== undefined) {
--- a/packages/anvilhinge/src/entry/choice/slot_coordinator.ts
+++ b/packages/anvilhinge/src/entry/choice/slot_coordinator.ts
@@ -1,8 +1,8 @@
 /**
- * Obtains slots of upstreams with engines for the requests of one entry. The hub
- * is the entry that assigns slots for all entries. This entry requests slots
- * from the hub over datagrams, or acts as the hub itself. While no hub answers,
- * it uses its own share of the slots.
+ * Obtains slots of upstreams with engines for the requests of one entry. The
+ * hub is the entry that assigns slots for all entries. This entry requests
+ * slots from the hub over datagrams, or acts as the hub itself. While no hub
+ * answers, it uses its own share of the slots.
  */
 import type * as random from "@anvilhinge/coordination/random";
 import type * as work from "@anvilhinge/coordination/dispatch/work";
@@ -86,7 +86,9 @@
     for (const event of events) options.onEvent(event);
   }
 
-  /** Whether this entry is the hub and its warm-up is over. */
+  /**
+   * Whether this entry is the hub and is warmed up; a single entry always is.
+   */
   function isActiveHub(): boolean {
     if (!members.isHub()) {
       hubSinceMs = undefined;
@@ -119,14 +121,18 @@
     options.sockets.send(message, members.getHub().address);
   }
 
-  /** Reports after the pending callbacks, so that their changes share a message. */
+  /**
+   * Schedules one report for all changes of the current event loop iteration.
+   */
   function scheduleReport(): void {
     if (isReportScheduled) return;
     isReportScheduled = true;
     scheduler.schedule(reportState, { delayMs: 0, signal });
   }
 
-  /** Logs the load seen by the hub, which explains why requests were refused. */
+  /**
+   * Logs the load at the hub, so that operators see why requests are refused.
+   */
   function writeLoadLog(): void {
     if (!isActiveHub() || scheduler.now() - loggedAtMs < logIntervalMs) return;
     loggedAtMs = scheduler.now();
--- a/packages/anvilhinge/src/entry/choice/upstreams.ts
+++ b/packages/anvilhinge/src/entry/choice/upstreams.ts
@@ -200,9 +200,9 @@
   }
 
   /**
-   * Chooses an upstream, but lets only first attempts probe half-open upstreams:
-   * a request that probes several of them in a row would use up its attempts on
-   * upstreams that are likely to fail.
+   * Chooses an upstream, but lets only first attempts probe half-open
+   * upstreams: a request that probes several of them in a row would use up its
+   * attempts on upstreams that are likely to fail.
    */
   function chooseForAttempt(
     pool: string,
--- a/packages/anvilhinge/src/entry/choice/workspace_limits.ts
+++ b/packages/anvilhinge/src/entry/choice/workspace_limits.ts
@@ -1,5 +1,5 @@
 /**
- * Workspace limits at one entry. The entry enforces an equal share of each
+ * Workspace limits at one entry. The entry enforces a fixed share of each
  * limit: the limit divided by the number of entries in an address answer.
  */
 import type * as clock from "@anvilhinge/coordination/clock";
@@ -33,9 +33,11 @@
   function computeShare(): number {
     const liveCount =
       options.listMembers().filter((member) => member.state === "live").length;
-    const { maxAddressCount: defaultCount } = addresses;
+    const { maxAddressCount } = addresses;
     return 1 /
-      (liveCount === 0 ? defaultCount : Math.min(liveCount, defaultCount));
+      (liveCount === 0
+        ? maxAddressCount
+        : Math.min(liveCount, maxAddressCount));
   }
 
   function getLimiter(workspace: string): limits.Limiter | undefined {
--- a/packages/anvilhinge/src/entry/control/control_duties.ts
+++ b/packages/anvilhinge/src/entry/control/control_duties.ts
@@ -11,8 +11,8 @@
   extends
     Pick<duties.Duties, "isHolder" | "getFencingNumber" | "listHeldBundles"> {
   /**
-   * Handles a report or forwards it to the entry in charge of the group. Resolves
-   * to false if neither is possible.
+   * Handles a report or forwards it to the entry in charge of the group.
+   * Resolves to false if neither is possible.
    */
   report(
     received: entryClient.GroupReport & { readonly forwarded: boolean },
--- a/packages/anvilhinge/src/entry/control/duties.ts
+++ b/packages/anvilhinge/src/entry/control/duties.ts
@@ -1,6 +1,7 @@
 /**
- * The control duties that this entry holds, through one lease per bundle of
- * duties of its half. Orders and writes of a duty carry the fencing number of its
+ * The control duties of one entry. The duties of a half are divided into
+ * bundles with one lease each. An entry holds the duties of the bundles whose
+ * lease it holds. Orders and writes of a duty carry the fencing number of its
  * lease.
  */
 import * as bundle from "@anvilhinge/coordination/bundle";
@@ -23,7 +24,7 @@
 export interface Duties {
   /** Whether this entry currently holds the lease of the duty. */
   isHolder(dutyKey: string): boolean;
-  /** Fencing number of the duty's lease; undefined unless this entry holds it. */
+  /** Fencing number of the duty's lease; undefined if it is not held here. */
   getFencingNumber(dutyKey: string): number | undefined;
   /** Numbers of the bundles whose lease this entry holds. */
   listHeldBundles(): readonly number[];
--- a/packages/anvilhinge/src/entry/control/duty_directory.ts
+++ b/packages/anvilhinge/src/entry/control/duty_directory.ts
@@ -10,7 +10,7 @@
 }
 
 export interface DutyDirectory {
-  /** Control address of the holder; undefined if there is none or it is unaddresses. */
+  /** Control address of the holder; undefined if no holder can be found. */
   findHolder(duty: Duty): Promise<string | undefined>;
   /** Makes the next `findHolder` read the lease from the store again. */
   invalidate(duty: Duty): void;
--- a/packages/anvilhinge/src/entry/control/gossip_client.ts
+++ b/packages/anvilhinge/src/entry/control/gossip_client.ts
@@ -28,7 +28,7 @@
   readonly manager: connectNode.Http2SessionManager;
 }
 
-/** Each message goes to another peer, so that few idle connections are reused. */
+/** Each message goes to another peer, so few idle connections are reused. */
 const idleConnectionTimeoutMs = 10_000;
 
 /** Creates a client that connects to a peer at the first request. */
--- a/packages/anvilhinge/src/entry/control/gossip_node.ts
+++ b/packages/anvilhinge/src/entry/control/gossip_node.ts
@@ -1,6 +1,6 @@
 /**
- * Runs the entry's gossip member: executes its effects as calls, timers and reads
- * of the object store, and passes the results back as events.
+ * Runs the entry's gossip member: executes its effects as calls, timers and
+ * reads of the object store, and passes the results back as events.
  */
 import * as gossip from "@anvilhinge/coordination/gossip";
 import type * as gossipMessage from "@anvilhinge/coordination/gossip_message";
@@ -47,7 +47,7 @@
 
 /** Mean interval between reads of the instance list. */
 const instancesIntervalMs = 5_000;
-/** Mean interval between reads of the instance list without any other member. */
+/** Mean interval between reads while no other member is known. */
 const aloneIntervalMs = 500;
 
 /** Starts the member; it first reads the instance list and the object store. */
@@ -181,8 +181,8 @@
       if (role !== "entry" || half !== options.half) return [];
       if (controlAddress === undefined) return [];
       const { address, failureDomain } = instance;
-      // 0 = not ready: callers get the address only after the entry has announced
-      // its own weight.
+      // 0 = not ready: callers get the address only after the entry has
+      // announced its own weight.
       const weight = 0;
       return [{ id, address, controlAddress, failureDomain, weight, state }];
     });
--- a/packages/anvilhinge/src/entry/control/handover_duty.ts
+++ b/packages/anvilhinge/src/entry/control/handover_duty.ts
@@ -134,7 +134,9 @@
     return move;
   }
 
-  /** Returns the move at `epoch` or later; reads it from the store if needed. */
+  /**
+   * Returns the move at `epoch` or later; reads it from the store if unknown.
+   */
   function findMove(group: string, epoch: number): Promise<Move | undefined> {
     const loaded = moves.get(group);
     if (loaded !== undefined && loaded.epoch >= epoch) {
--- a/packages/anvilhinge/src/entry/control/replica_applier.ts
+++ b/packages/anvilhinge/src/entry/control/replica_applier.ts
@@ -1,6 +1,6 @@
 /**
- * Applies replicated objects at an entry: settings to its catalog, assignments to
- * its upstream table.
+ * Applies replicated objects at an entry: settings to its catalog, assignments
+ * to its upstream table.
  */
 import type * as assignment from "@anvilhinge/coordination/assignment";
 import type * as settingsReplica from "@anvilhinge/coordination/settings_replica";
--- a/packages/anvilhinge/src/entry/control/replica_scope.ts
+++ b/packages/anvilhinge/src/entry/control/replica_scope.ts
@@ -1,8 +1,8 @@
 /**
  * Scope of the settings replicas of a half's entries: the settings of the half,
- * the groups of all halves, and all assignments. A group that moves to another
- * half is still defined under the path of its first half. Nothing else is shared
- * between the halves.
+ * the groups of all halves, and all assignments. A group that has moved is
+ * still defined under the path of the other half, so its new half needs to read
+ * that definition. Nothing else is shared between the halves.
  */
 import type * as settingsReplica from "@anvilhinge/coordination/settings_replica";
 import * as assignmentCodec from "../../adapters/assignment_codec.ts";
@@ -29,8 +29,8 @@
 
 /**
  * Converts a stored object to its replicated form: the text of settings without
- * their history, or an assignment as JSON. Settings objects that can't be parsed
- * are skipped.
+ * their history, or an assignment as JSON. Settings objects that can't be
+ * parsed are skipped.
  */
 export function convertStored(
   { key, value, version }: objectStore.StoredObject,
--- a/packages/anvilhinge/src/entry/control/roster_node.ts
+++ b/packages/anvilhinge/src/entry/control/roster_node.ts
@@ -1,4 +1,4 @@
-/** Runs the entry's roster: sends its messages and handles received messages. */
+/** Runs the entry's roster: sends its messages and passes on received ones. */
 import type * as clock from "@anvilhinge/coordination/clock";
 import * as roster from "@anvilhinge/coordination/roster";
 import type * as datagrams from "../../adapters/datagrams.ts";
@@ -21,7 +21,10 @@
   EntryDetails,
   routingView.ViewStatus
 >;
-type Sends = readonly roster.RosterSend<EntryDetails, routingView.ViewStatus>[];
+type OutgoingMessages = readonly roster.RosterSend<
+  EntryDetails,
+  routingView.ViewStatus
+>[];
 
 export interface RosterNodeOptions {
   readonly self: Omit<EntryMember, "revision">;
@@ -51,7 +54,7 @@
 /** Starts the roster; it sends its first messages at the first tick. */
 export function startRosterNode(options: RosterNodeOptions): RosterNode {
   const { scheduler, signal, logger } = options;
-  const core = roster.createRoster<EntryDetails, routingView.ViewStatus>({
+  const machine = roster.createRoster<EntryDetails, routingView.ViewStatus>({
     clock: options.elapsed,
     readHubStatus: options.readHubStatus,
     onHubStatus: options.onHubStatus,
@@ -62,18 +65,18 @@
   let loggedHubId: string | undefined;
   let loggedIds = "";
 
-  function send(sends: Sends): void {
-    for (const { to, message } of sends) options.sockets.send(message, to);
+  function send(messages: OutgoingMessages): void {
+    for (const { to, message } of messages) options.sockets.send(message, to);
   }
 
   /** Logs changes of the hub and of the entries that accept requests. */
   function writeMembershipLog(): void {
-    const hub = core.getHub().id;
+    const hub = machine.getHub().id;
     if (hub !== loggedHubId) {
       loggedHubId = hub;
-      logger.info("Hub changed", { hub, isOwn: core.isHub() });
+      logger.info("Hub changed", { hub, isOwn: machine.isHub() });
     }
-    const ids = core.listLive()
+    const ids = machine.listLive()
       .filter(({ details: { isReady, isLeaving } }) => isReady && !isLeaving)
       .map(({ id }) => id);
     const live = [...ids].sort().join(" ");
@@ -86,7 +89,7 @@
   }
 
   function tick(): void {
-    send(core.tick());
+    send(machine.tick());
     writeMembershipLog();
     scheduler.schedule(tick, { delayMs: roster.tickMs, signal });
   }
@@ -94,15 +97,15 @@
   scheduler.schedule(tick, { delayMs: 0, signal });
   return {
     handle(message) {
-      send(core.handle(message));
+      send(machine.handle(message));
     },
     setState(state) {
       details = { ...details, ...state };
-      send(core.setDetails(details));
+      send(machine.setDetails(details));
     },
-    addSeeds: core.addSeeds,
-    listLive: core.listLive,
-    getHub: core.getHub,
-    isHub: core.isHub,
+    addSeeds: machine.addSeeds,
+    listLive: machine.listLive,
+    getHub: machine.getHub,
+    isHub: machine.isHub,
   };
 }
--- a/packages/anvilhinge/src/entry/control/store_follower.ts
+++ b/packages/anvilhinge/src/entry/control/store_follower.ts
@@ -1,7 +1,7 @@
 /**
- * Reads all keys below a prefix of the object store: lists them, then watches for
- * changes. After the watch ends, it is resumed, or the prefix is listed again,
- * with a randomized delay.
+ * Reads all keys below a prefix of the object store: lists them, then watches
+ * for changes. After the watch ends, it is resumed, or the prefix is listed
+ * again, with a randomized delay.
  */
 import * as backoff from "@anvilhinge/coordination/backoff";
 import type * as random from "@anvilhinge/coordination/random";
@@ -103,7 +103,7 @@
 /** Follows the prefix until the signal aborts. */
 export function followPrefix(options: FollowOptions): void {
   const { signal } = options;
-  // Counts consecutive watches that ended without an event from the store.
+  // The delay grows with consecutive watches that ended without an event.
   const retries = createRetryScheduler(options);
 
   function listAndWatch(): void {
--- a/packages/anvilhinge/src/entry/routing/followed_prefix.ts
+++ b/packages/anvilhinge/src/entry/routing/followed_prefix.ts
@@ -1,6 +1,6 @@
 /**
- * Follows one prefix of the object store and tracks the age of its view. The view
- * is confirmed by the store or, at a lower cost, by the status of the hub.
+ * Follows one prefix of the object store and tracks the age of its view. The
+ * view is confirmed by the store or, at a lower cost, by the status of the hub.
  */
 import type * as clock from "@anvilhinge/coordination/clock";
 import type * as random from "@anvilhinge/coordination/random";
@@ -60,8 +60,8 @@
 const watchLagTimeoutMs = 300;
 const checkIntervalMs = 250;
 /**
- * Window in which changes are batched, because they come in bursts. All deadlines
- * for applying a change are seconds.
+ * Window in which changes are batched, because they come in bursts. All
+ * deadlines for applying a change are seconds.
  */
 const batchWindowMs = 250;
 
@@ -131,7 +131,7 @@
       onConfirmed(asOfMs) {
         isUnavailable = false;
         options.onAvailable();
-        // `asOfMs` is on the scheduler's clock, so the age is carried over.
+        // Converts `asOfMs` from the scheduler's clock to `elapsed` by its age.
         const ageMs = scheduler.now() - asOfMs;
         confirmedAtMs = Math.max(confirmedAtMs, elapsed.now() - ageMs);
       },
--- a/packages/anvilhinge/src/entry/routing/route_table.ts
+++ b/packages/anvilhinge/src/entry/routing/route_table.ts
@@ -1,4 +1,6 @@
-/** Finds the routes and workspaces of requests in one version of the settings. */
+/**
+ * Finds the route and workspace of a request in one version of the settings.
+ */
 import type * as random from "@anvilhinge/coordination/random";
 import type * as routing from "../../settings/routing.ts";
 
@@ -54,7 +56,7 @@
   };
 }
 
-/** Picks one of the route's services at random, in proportion to the weights. */
+/** Picks one of the route's services at random, according to the weights. */
 export function pickService(
   route: routing.Route,
   randomSource: random.RandomSource,
--- a/packages/anvilhinge/src/entry/routing/routing_view.ts
+++ b/packages/anvilhinge/src/entry/routing/routing_view.ts
@@ -1,11 +1,11 @@
 /**
- * The entry's view of the routing settings and upstreams in the platform's object
- * store. A view never returns to a lower version of the settings. It records the
- * time at which the store last confirmed it.
+ * The entry's view of the routing settings and upstreams in the platform's
+ * object store. A view never returns to a lower version of the settings. It
+ * records the time at which the store last confirmed it.
  *
  * Each entry watches the store for changes. Confirmations cost store calls, so
- * only the hub requests them often and distributes them to the other entries. An
- * entry that receives no confirmation for some seconds requests its own.
+ * only the hub requests them often and distributes them to the other entries.
+ * An entry that receives no confirmation for some seconds requests its own.
  */
 import type * as clock from "@anvilhinge/coordination/clock";
 import type * as random from "@anvilhinge/coordination/random";
@@ -58,7 +58,9 @@
 
 export interface RoutingView {
   getTable(): routeTable.RouteTable | undefined;
-  /** Time since the store last confirmed the routing settings, in milliseconds. */
+  /**
+   * Time since the store last confirmed the routing settings, in milliseconds.
+   */
   getAgeMs(): number;
   readStatus(): ViewStatus;
   /** Applies a status that the hub sampled after this time of `elapsed`. */
@@ -149,8 +151,8 @@
   }
 
   /**
-   * Removes an upstream whose record is missing. After an outage of the store the
-   * removal is delayed, as the record may only have expired.
+   * Removes an upstream whose record is missing. After an outage of the store
+   * the removal is delayed, as the record may only have expired.
    */
   function expireUpstream(key: string): boolean {
     const graceLeftMs = availableAtMs + expiryGraceMs - scheduler.now();
