--- a/packages/anvilhinge/bench/claims.ts
+++ b/packages/anvilhinge/bench/claims.ts
@@ -10,7 +10,7 @@
 import * as claimStore from "../src/entry/session/claim_store.ts";
 import type * as objectStore from "../src/ports/object_store.ts";
 import type * as scheduler from "../src/ports/scheduler.ts";
-import * as eventQueue from "./claims_clock.ts";
+import * as eventQueue from "./simulated_scheduler.ts";
 
 const half = "association";
 const seed = 20_261_203;
@@ -103,7 +103,7 @@
 }
 
 async function measure(rate: number, entryCount: number): Promise<Result> {
-  const timers = eventQueue.createClaimsClock();
+  const timers = eventQueue.createSimulatedScheduler();
   const { store, counts } = createStore(timers);
   const draw = random.createRandomSource(seed);
   const entries = Array.from(
--- a/packages/anvilhinge/bench/claims_clock.ts
+++ b/packages/anvilhinge/bench/simulated_scheduler.ts
@@ -1,7 +1,7 @@
 /** Scheduler for benches with many timers; promises settle between instants. */
 import type * as scheduler from "../src/ports/scheduler.ts";
 
-export interface ClaimsClock extends scheduler.Scheduler {
+export interface SimulatedScheduler extends scheduler.Scheduler {
   /** Runs all timers that fall due within the duration. */
   run(durationMs: number): Promise<void>;
 }
@@ -12,7 +12,7 @@
 }
 
 /** Creates a clock at 0 that resolves times to whole milliseconds. */
-export function createClaimsClock(): ClaimsClock {
+export function createSimulatedScheduler(): SimulatedScheduler {
   const byInstant = new Map<number, Timer[]>();
   let nowMs = 0;
 
--- a/packages/coordination/bench/choice.ts
+++ b/packages/coordination/bench/choice.ts
@@ -112,11 +112,13 @@
   { name: "round robin", createStrategy: balance.createRoundRobinStrategy },
   {
     name: "least reported",
-    createStrategy: (options) => balance.createReportedStrategy(options, "all"),
+    createStrategy: (options) =>
+      balance.createReportedLoadStrategy(options, "all"),
   },
   {
     name: "two, reported",
-    createStrategy: (options) => balance.createReportedStrategy(options, "two"),
+    createStrategy: (options) =>
+      balance.createReportedLoadStrategy(options, "two"),
   },
   {
     name: "chooser",
@@ -143,16 +145,16 @@
     const result = balance.measureBalance({
       seed,
       createStrategy,
-      slowShare,
+      slowGroupShare: slowShare,
       utilization: 0.8,
       prefixesPerWorkspace: 20,
     });
     console.log([
       name.padEnd(24),
-      `max/mean ${result.maxOverMean.toFixed(2)}`,
+      `max/mean ${result.maxToMeanLoad.toFixed(2)}`,
       `mean ${result.meanMs.toFixed(0)} ms`,
       `p99 ${result.p99Ms.toFixed(0)} ms`,
-      `hits ${(result.hitShare * 100).toFixed(1)}%`,
+      `hits ${(result.cacheHitShare * 100).toFixed(1)}%`,
       `requests ${result.requests}`,
     ].join("  "));
   }
--- a/packages/coordination/bench/choice_balance.ts
+++ b/packages/coordination/bench/choice_balance.ts
@@ -34,7 +34,7 @@
   readonly seed: number;
   readonly createStrategy: CreateStrategy;
   /** Groups whose steps take twice as long, as a share. */
-  readonly slowShare: number;
+  readonly slowGroupShare: number;
   /** Load over capacity. */
   readonly utilization: number;
   readonly prefixesPerWorkspace: number;
@@ -42,10 +42,10 @@
 
 export interface BalanceResult {
   /** Largest over mean load, over the upstreams of a need; mean of samples. */
-  readonly maxOverMean: number;
+  readonly maxToMeanLoad: number;
   readonly meanMs: number;
   readonly p99Ms: number;
-  readonly hitShare: number;
+  readonly cacheHitShare: number;
   readonly requests: number;
 }
 
@@ -92,19 +92,19 @@
   const events = eventQueue.createEventQueue();
   const source = random.createRandomSource(options.seed);
   const pools = createPools();
-  const models = new Map<string, queueModel.ModelUpstream>();
+  const models = new Map<string, queueModel.SimulatedUpstream>();
   const caches = new Map<string, Map<number, true>>();
   let totalSlots = 0;
   for (const { id, group } of pools.flat()) {
-    const model = queueModel.createModelUpstream({
+    const model = queueModel.createSimulatedUpstream({
       events,
       slots,
       lagMs,
       stepUs,
     });
     const groupIndex = Number(group.slice(1));
-    const isSlow = ((groupIndex * 7) % 100) / 100 < options.slowShare;
-    if (isSlow) model.setSlowness(2);
+    const isSlow = ((groupIndex * 7) % 100) / 100 < options.slowGroupShare;
+    if (isSlow) model.setSlowdown(2);
     totalSlots += isSlow ? slots / 2 : slots;
     models.set(id, model);
     caches.set(id, new Map());
@@ -162,11 +162,11 @@
       hits += isHit ? 1 : 0;
     }
     strategy.recordSent(id);
-    const model = models.get(id) as queueModel.ModelUpstream;
+    const model = models.get(id) as queueModel.SimulatedUpstream;
     const workMs = -Math.log(1 - source()) * meanWorkMs;
     model.submit({
       workMs: isHit ? workMs * (1 - prefixSaving) : workMs,
-      onDone() {
+      onCompleted() {
         if (isMeasured) durations.push(events.now() - sentAtMs);
         const report = model.readReport();
         strategy.recordEnded(id, { sentAtMs, report, prefixKeys });
@@ -191,10 +191,10 @@
   const sum = (values: readonly number[]) =>
     values.reduce((total, value) => total + value, 0);
   return {
-    maxOverMean: sum(ratios) / ratios.length,
+    maxToMeanLoad: sum(ratios) / ratios.length,
     meanMs: sum(durations) / durations.length,
     p99Ms: durations[Math.floor(durations.length * 0.99)] ?? 0,
-    hitShare: hits / requests,
+    cacheHitShare: hits / requests,
     requests,
   };
 }
@@ -233,7 +233,7 @@
 }
 
 /** Takes the least reported load of all upstreams or of two at random. */
-export function createReportedStrategy(
+export function createReportedLoadStrategy(
   options: StrategyOptions,
   candidates: "all" | "two",
 ): Strategy {
--- a/packages/coordination/bench/fake_cluster.ts
+++ b/packages/coordination/bench/fake_cluster.ts
@@ -24,7 +24,7 @@
     nodeId: string,
     objects: readonly settingsReplica.ReplicatedObject[],
   ) => void;
-  readonly onMembers?: (
+  readonly onMembersChanged?: (
     nodeId: string,
     changed: readonly membership.MemberRecord[],
   ) => void;
@@ -36,11 +36,11 @@
   /** Calls to the store by the second in which they were made. */
   readonly callsBySecond: ReadonlyMap<number, number>;
   countWatches(): number;
-  sentBytes(): number;
+  getSentBytes(): number;
   startAll(): void;
   /** Writes an object; returns its version. */
   write(key: string, value: string): number;
-  setStoreAway(isAway: boolean): void;
+  setStoreUnavailable(isAway: boolean): void;
   pause(nodeId: string, durationMs: number): void;
   stop(nodeId: string): void;
   start(nodeId: string): void;
@@ -250,7 +250,7 @@
       case "set_watching":
         return effect.isWatching ? startWatch(node) : stopWatch(node);
       case "members_changed":
-        return options.onMembers?.(node.peer.id, effect.changed);
+        return options.onMembersChanged?.(node.peer.id, effect.changed);
     }
   }
 
@@ -297,7 +297,7 @@
     countWatches: () =>
       prefixCount *
       [...nodes.values()].filter((node) => node.isWatching).length,
-    sentBytes: () => sentBytes,
+    getSentBytes: () => sentBytes,
     startAll() {
       for (const id of nodes.keys()) start(id);
     },
@@ -315,7 +315,7 @@
       }
       return version;
     },
-    setStoreAway(isAway) {
+    setStoreUnavailable(isAway) {
       isStoreAway = isAway;
       if (!isAway) return;
       for (const node of nodes.values()) {
--- a/packages/coordination/bench/maps/main.ts
+++ b/packages/coordination/bench/maps/main.ts
@@ -34,7 +34,7 @@
     readonly seed: number;
     readonly policy: policies.PolicyName;
   },
-): policies.Run {
+): policies.PolicyRun {
   const trace = traces.createTrace(name, {
     ...shape,
     rankCount: domains.length,
@@ -69,7 +69,7 @@
       computeMean(skews).toFixed(3),
       computeQuantile(skews, 0.99).toFixed(3),
       (computeMean(bytes) / 1e9).toFixed(2).padStart(7),
-      computeMean(runs.map((run) => run.switches)).toFixed(1).padStart(6),
+      computeMean(runs.map((run) => run.switchCount)).toFixed(1).padStart(6),
     ].join("  "));
   }
 }
--- a/packages/coordination/bench/maps/policies.ts
+++ b/packages/coordination/bench/maps/policies.ts
@@ -17,17 +17,17 @@
 
 export type PolicyName = typeof policyNames[number];
 
-export interface RunOptions {
+export interface PolicyRunOptions {
   readonly shape: expertMap.GroupShape;
-  readonly trace: readonly traces.Instant[];
+  readonly trace: readonly traces.TraceInterval[];
   readonly random: random.RandomSource;
 }
 
-export interface Run {
+export interface PolicyRun {
   /** Slowest over mean rank by interval. */
   readonly skews: readonly number[];
   readonly bytesByInterval: readonly number[];
-  readonly switches: number;
+  readonly switchCount: number;
 }
 
 export const intervalMs = 10_000;
@@ -41,7 +41,10 @@
 const warmUpIntervals = 6;
 
 /** Runs a policy; counts reach it one interval late and noisy. */
-export function runPolicy(policy: PolicyName, options: RunOptions): Run {
+export function runPolicy(
+  policy: PolicyName,
+  options: PolicyRunOptions,
+): PolicyRun {
   const { shape, trace } = options;
   const estimate = popularity.createPopularityEstimator(shape);
   const totals = trace[0]!.shares.map((row) => row.map(() => 0));
@@ -79,10 +82,10 @@
     bytesByInterval.push(loads * expertBytes);
     addTokens(totals, instant, options.random);
   });
-  return { skews, bytesByInterval, switches };
+  return { skews, bytesByInterval, switchCount: switches };
 }
 
-interface PolicyInput extends RunOptions {
+interface PolicyInput extends PolicyRunOptions {
   readonly map: expertMap.ExpertMap;
   readonly speeds: readonly number[];
   readonly interval: number;
@@ -123,7 +126,7 @@
 
 function addTokens(
   totals: number[][],
-  { shares }: traces.Instant,
+  { shares }: traces.TraceInterval,
   draw: random.RandomSource,
 ): void {
   shares.forEach((row, layer) =>
--- a/packages/coordination/bench/maps/report.ts
+++ b/packages/coordination/bench/maps/report.ts
@@ -6,7 +6,7 @@
   readonly trace: string;
   readonly runs: readonly {
     readonly policy: policies.PolicyName;
-    readonly run: policies.Run;
+    readonly run: policies.PolicyRun;
   }[];
 }
 
--- a/packages/coordination/bench/maps/traces.ts
+++ b/packages/coordination/bench/maps/traces.ts
@@ -2,7 +2,7 @@
 import type * as random from "../../src/random.ts";
 
 /** What is true of a group in one interval. */
-export interface Instant {
+export interface TraceInterval {
   /** Share of a layer's tokens by layer, then by expert. */
   readonly shares: readonly (readonly number[])[];
   readonly speeds: readonly number[];
@@ -37,7 +37,7 @@
 export function createTrace(
   name: TraceName,
   options: TraceOptions,
-): readonly Instant[] {
+): readonly TraceInterval[] {
   const computeWeight = createWeights(name, options);
   const straggler = Math.floor(options.random() * options.rankCount);
   const startsAt = Math.floor(options.intervalCount * 0.3);
--- a/packages/coordination/bench/overload_model.ts
+++ b/packages/coordination/bench/overload_model.ts
@@ -13,9 +13,9 @@
 
 export interface GoodputResult {
   /** Answers within their deadline, over what the capacity allows. */
-  readonly goodput: number;
+  readonly goodputShare: number;
   /** The same for the most urgent third of the requests, over its arrivals. */
-  readonly urgentShare: number;
+  readonly urgentAnsweredShare: number;
   readonly refusedShare: number;
 }
 
@@ -128,8 +128,8 @@
   events.run(durationMs);
   const capacity = slots * (durationMs - warmUpMs) / meanWorkMs;
   return {
-    goodput: counts.good / capacity,
-    urgentShare: counts.goodUrgent / counts.urgent,
+    goodputShare: counts.good / capacity,
+    urgentAnsweredShare: counts.goodUrgent / counts.urgent,
     refusedShare: counts.refused / counts.arrived,
   };
 }
--- a/packages/coordination/bench/queue_model.ts
+++ b/packages/coordination/bench/queue_model.ts
@@ -7,19 +7,19 @@
   readonly workMs: number;
   /** 0 is the most urgent. */
   readonly priority?: number;
-  readonly onDone: () => void;
+  readonly onCompleted: () => void;
 }
 
-export interface ModelUpstream {
+export interface SimulatedUpstream {
   submit(job: Job): void;
   countLoad(): number;
   countQueued(): number;
   /** Load as it stood `lagMs` ago. */
   readReport(): loadEstimate.LoadReport;
-  setSlowness(slowness: number): void;
+  setSlowdown(slowness: number): void;
 }
 
-export interface ModelOptions {
+export interface SimulatedUpstreamOptions {
   readonly events: eventQueue.EventQueue;
   readonly slots: number;
   readonly lagMs: number;
@@ -28,7 +28,9 @@
 }
 
 /** Creates an idle upstream. */
-export function createModelUpstream(options: ModelOptions): ModelUpstream {
+export function createSimulatedUpstream(
+  options: SimulatedUpstreamOptions,
+): SimulatedUpstream {
   const { events, slots, lagMs } = options;
   const queue: Job[] = [];
   const history = [{ atMs: -Infinity, running: 0, queued: 0 }];
@@ -60,7 +62,7 @@
     const next = takeNext();
     if (next !== undefined) start(next);
     recordChange();
-    job.onDone();
+    job.onCompleted();
   }
 
   return {
@@ -80,7 +82,7 @@
       const { running = 0, queued = 0 } = history[index] ?? {};
       return { running, queued, stepUs: options.stepUs * slowness };
     },
-    setSlowness(next) {
+    setSlowdown(next) {
       slowness = next;
     },
   };
--- a/packages/coordination/bench/spread.ts
+++ b/packages/coordination/bench/spread.ts
@@ -119,7 +119,7 @@
   cluster.startAll();
   queue.run(warmUpMs);
   const untilMs = warmUpMs + options.durationMs;
-  const bytesBefore = cluster.sentBytes();
+  const bytesBefore = cluster.getSentBytes();
 
   function writeChange(): void {
     const key = formatKey(Math.floor(source() * size.objectCount));
@@ -156,7 +156,7 @@
     action: replaceNode,
   });
   queue.run(untilMs);
-  const bytes = cluster.sentBytes() - bytesBefore;
+  const bytes = cluster.getSentBytes() - bytesBefore;
   queue.run(untilMs + settleMs);
   const everywhere = hdr.build();
   for (const change of changes) {
@@ -212,7 +212,7 @@
     random: source,
     lossShare: options.lossShare,
     onApply: () => {},
-    onMembers(nodeId, changed) {
+    onMembersChanged(nodeId, changed) {
       for (const record of changed) {
         if (record.state === "suspect" && !stoppedMs.has(record.id)) {
           suspicions += 1;
@@ -242,7 +242,7 @@
   cluster.startAll();
   queue.run(warmUpMs);
   const untilMs = warmUpMs + options.durationMs;
-  const bytesBefore = cluster.sentBytes();
+  const bytesBefore = cluster.getSentBytes();
   const stopCount = Math.min(10, Math.floor(size.nodeCount / 4));
   for (let index = 0; index < stopCount; index += 1) {
     queue.schedule(() => {
@@ -263,7 +263,7 @@
     });
   }
   queue.run(untilMs);
-  const bytes = cluster.sentBytes() - bytesBefore;
+  const bytes = cluster.getSentBytes() - bytesBefore;
   queue.run(untilMs + settleMs);
   const bytesPerSecond = bytes / size.nodeCount / (options.durationMs / 1_000);
   console.log(
@@ -303,7 +303,7 @@
   queue.run(warmUpMs);
   const outageMs = 120_000;
   const endMs = warmUpMs + outageMs;
-  cluster.setStoreAway(true);
+  cluster.setStoreUnavailable(true);
   const restarted = cluster.nodeIds.filter((_, index) => index % 10 === 0);
   for (const [index, id] of restarted.entries()) {
     readyNodes.delete(id);
@@ -315,7 +315,7 @@
   }
   queue.run(endMs);
   const joined = restarted.filter((id) => readyNodes.has(id)).length;
-  cluster.setStoreAway(false);
+  cluster.setStoreUnavailable(false);
   const key = formatKey(0);
   const version = cluster.write(key, valueText);
   queue.run(endMs + 40_000);
--- a/scripts/binary_system.ts
+++ b/scripts/binary_system.ts
@@ -32,7 +32,7 @@
   readonly address: string;
   readonly process: childProcess.ChildProcess;
   /** Standard output and error so far. */
-  readOutput(): string;
+  getOutput(): string;
 }
 
 export interface BinarySystem {
@@ -72,7 +72,7 @@
       output += text;
     });
   }
-  return { id, process: child, readOutput: () => output };
+  return { id, process: child, getOutput: () => output };
 }
 
 /** Resolves to the groups of `pattern` once the process has written it. */
@@ -81,11 +81,11 @@
   pattern: RegExp,
 ): Promise<readonly string[]> {
   for (;;) {
-    const match = pattern.exec(running.readOutput());
+    const match = pattern.exec(running.getOutput());
     if (match !== null) return match.slice(1);
     const { exitCode, signalCode } = running.process;
     if (exitCode !== null || signalCode !== null) {
-      throw new Error(`${running.id} ended: ${running.readOutput()}`);
+      throw new Error(`${running.id} ended: ${running.getOutput()}`);
     }
     await new Promise((resolve) => setTimeout(resolve, 20));
   }
--- a/scripts/capacity/control.ts
+++ b/scripts/capacity/control.ts
@@ -57,7 +57,7 @@
   }
   cluster.startAll();
   queue.run(warmUpMs);
-  const bytesBefore = cluster.sentBytes();
+  const bytesBefore = cluster.getSentBytes();
   for (let second = 0; second < measuredMs / 1_000; second += 1) {
     queue.schedule(() => {
       if (source() > changesPerSecond) return;
@@ -68,7 +68,7 @@
   const cpuUs = await measure.measureCpuUs(() => {
     queue.run(warmUpMs + measuredMs);
   });
-  const bytes = cluster.sentBytes() - bytesBefore;
+  const bytes = cluster.getSentBytes() - bytesBefore;
   const calls = [...cluster.callsBySecond]
     .filter(([second]) => second * 1_000 >= warmUpMs)
     .reduce((sum, [, count]) => sum + count, 0);
@@ -158,7 +158,7 @@
 }
 
 /** Measures all control mechanisms; takes about a minute. */
-export async function measureControl(): Promise<readonly table.Row[]> {
+export async function measureControl(): Promise<readonly table.CostRow[]> {
   const spreads: SpreadCost[] = [];
   for (const count of nodeCounts) spreads.push(await measureSpread(count));
   const replicas = [];
@@ -169,13 +169,13 @@
     name: string,
     unit: string,
     read: (cost: SpreadCost) => number,
-  ): table.Row => ({
+  ): table.CostRow => ({
     mechanism: "settings spreading and membership",
     cost: name,
     unit,
-    of: "entries",
+    sizeUnit: "entries",
     samples: collect(nodeCounts, spreads.map(read)),
-    target: 430,
+    targetSize: 430,
   });
   return [
     spreadRow("sent by a node", "bytes/s", (cost) => cost.bytesPerSecond),
@@ -195,33 +195,33 @@
       mechanism: "settings replica",
       cost: "state of a node",
       unit: "bytes",
-      of: "objects of 600 bytes",
+      sizeUnit: "objects of 600 bytes",
       samples: collect(objectCounts, replicas.map(({ bytes }) => bytes)),
-      target: 1_600,
+      targetSize: 1_600,
     },
     {
       mechanism: "settings replica",
       cost: "one change and one digest",
       unit: "us",
-      of: "objects of 600 bytes",
+      sizeUnit: "objects of 600 bytes",
       samples: collect(objectCounts, replicas.map(({ cpuUs }) => cpuUs)),
-      target: 1_600,
+      targetSize: 1_600,
     },
     {
       mechanism: "address answers",
       cost: "one answer",
       unit: "us",
-      of: "entries",
+      sizeUnit: "entries",
       samples: collect(nodeCounts, answers),
-      target: 430,
+      targetSize: 430,
     },
     {
       mechanism: "address answers",
       cost: "workspaces moved when one entry leaves",
       unit: "share",
-      of: "entries",
+      sizeUnit: "entries",
       samples: collect(nodeCounts, nodeCounts.map(measureChurn)),
-      target: 430,
+      targetSize: 430,
     },
   ];
 }
--- a/scripts/capacity/fit.ts
+++ b/scripts/capacity/fit.ts
@@ -57,6 +57,6 @@
 }
 
 /** Value of the fitted line at a size. */
-export function computeAt(fit: Fit, size: number): number {
+export function estimateValue(fit: Fit, size: number): number {
   return fit.intercept + fit.slope * size;
 }
--- a/scripts/capacity/table.ts
+++ b/scripts/capacity/table.ts
@@ -2,15 +2,15 @@
 import * as fit from "./fit.ts";
 
 /** One cost of one mechanism, measured at three sizes or more. */
-export interface Row {
+export interface CostRow {
   readonly mechanism: string;
   readonly cost: string;
   readonly unit: string;
   /** What the size counts. */
-  readonly of: string;
+  readonly sizeUnit: string;
   readonly samples: readonly fit.Sample[];
   /** Size to design for. */
-  readonly target: number;
+  readonly targetSize: number;
 }
 
 /** Formats a number with three significant digits. */
@@ -22,25 +22,25 @@
     : String(rounded);
 }
 
-function findMeasured(row: Row): fit.Sample | undefined {
-  return row.samples.find(({ size }) => size === row.target);
+function findMeasured(row: CostRow): fit.Sample | undefined {
+  return row.samples.find(({ size }) => size === row.targetSize);
 }
 
-function renderRow(row: Row): string {
+function renderRow(row: CostRow): string {
   const fitted = fit.fitSamples(row.samples);
   const measured = findMeasured(row);
-  const atTarget = measured?.value ?? fit.computeAt(fitted, row.target);
+  const atTarget = measured?.value ?? fit.estimateValue(fitted, row.targetSize);
   const samples = row.samples
     .map(({ size, value }) => `${formatNumber(value)} at ${size}`)
     .join(", ");
   const cells = [
     row.mechanism,
     `${row.cost}, ${row.unit}`,
-    `${samples} ${row.of}`,
+    `${samples} ${row.sizeUnit}`,
     formatNumber(fitted.slope),
     `${(fitted.residual * 100).toFixed(0)}%`,
     fitted.exponent.toFixed(2),
-    `${formatNumber(atTarget)} at ${row.target}${
+    `${formatNumber(atTarget)} at ${row.targetSize}${
       measured === undefined ? " (from the slope)" : " (measured)"
     }`,
   ];
@@ -48,7 +48,7 @@
 }
 
 /** Renders all rows as one table. */
-export function renderTable(rows: readonly Row[]): string {
+export function renderTable(rows: readonly CostRow[]): string {
   const heads = [
     "Mechanism",
     "Cost",
--- a/scripts/capacity/work.ts
+++ b/scripts/capacity/work.ts
@@ -198,7 +198,7 @@
 }
 
 /** Measures the work path; takes about half a minute. */
-export async function measureWork(): Promise<readonly table.Row[]> {
+export async function measureWork(): Promise<readonly table.CostRow[]> {
   const choices = [];
   for (const count of upstreamCounts) choices.push(await measureChoice(count));
   const held = [];
@@ -210,41 +210,41 @@
       mechanism: "choice of upstream",
       cost: "state of an entry",
       unit: "bytes",
-      of: "upstreams",
+      sizeUnit: "upstreams",
       samples: collect(upstreamCounts, choices.map(({ bytes }) => bytes)),
-      target: 11_000,
+      targetSize: 11_000,
     },
     {
       mechanism: "choice of upstream",
       cost: "choose, sent, ended",
       unit: "us",
-      of: "upstreams",
+      sizeUnit: "upstreams",
       samples: collect(upstreamCounts, choices.map(({ cpuUs }) => cpuUs)),
-      target: 11_000,
+      targetSize: 11_000,
     },
     {
       mechanism: "frames held for resume",
       cost: "state of an agent",
       unit: "bytes",
-      of: "answers of 300 tokens",
+      sizeUnit: "answers of 300 tokens",
       samples: collect(heldCounts, held.map(({ bytes }) => bytes)),
-      target: 128,
+      targetSize: 128,
     },
     {
       mechanism: "frames held for resume",
       cost: "one token",
       unit: "us",
-      of: "answers of 300 tokens",
+      sizeUnit: "answers of 300 tokens",
       samples: collect(heldCounts, held.map(({ cpuUs }) => cpuUs)),
-      target: 128,
+      targetSize: 128,
     },
     {
       mechanism: "stream from agent to entry",
       cost: "one token, both ends",
       unit: "us",
-      of: "tokens a frame",
+      sizeUnit: "tokens a frame",
       samples: collect(batchSizes, streams),
-      target: 16,
+      targetSize: 16,
     },
   ];
 }
--- a/scripts/known_red.ts
+++ b/scripts/known_red.ts
@@ -4,7 +4,7 @@
  */
 
 /** One test that is known to fail. */
-export interface KnownRed {
+export interface KnownFailure {
   /** File of the test, relative to the root. */
   readonly file: string;
   /** Full name of the test, its `describe` blocks included. */
@@ -14,8 +14,8 @@
   readonly issue: string;
 }
 
-export type ListOutcome =
-  | { readonly kind: "parsed"; readonly entries: readonly KnownRed[] }
+export type ParseOutcome =
+  | { readonly kind: "parsed"; readonly entries: readonly KnownFailure[] }
   | { readonly kind: "invalid"; readonly message: string };
 
 /** The parts of jest's JSON report that count here. */
@@ -41,7 +41,7 @@
 const fields = ["test", "command", "seen", "issue"] as const;
 const separator = " > ";
 
-function parseEntry(block: string): KnownRed | string {
+function parseEntry(block: string): KnownFailure | string {
   const values = new Map<string, string>();
   for (const line of block.split("\n")) {
     const [, field = "", value = ""] = /^(\w+): *(.+)$/.exec(line) ?? [];
@@ -66,11 +66,11 @@
 }
 
 /** Parses the list; entries are separated by blank lines, `#` begins a note. */
-export function parseKnownRed(text: string): ListOutcome {
+export function parseKnownFailures(text: string): ParseOutcome {
   const lines = text.split("\n").map((line) => line.trimEnd());
   const blocks = lines.filter((line) => !line.startsWith("#")).join("\n")
     .split(/\n{2,}/).map((block) => block.trim());
-  const entries: KnownRed[] = [];
+  const entries: KnownFailure[] = [];
   for (const block of blocks.filter((text) => text !== "")) {
     const entry = parseEntry(block);
     if (typeof entry === "string") return { kind: "invalid", message: entry };
@@ -83,7 +83,7 @@
 export function decideRun(
   report: JestReport,
   { entries, jestStatus }: {
-    readonly entries: readonly KnownRed[];
+    readonly entries: readonly KnownFailure[];
     readonly jestStatus: number | null;
   },
 ): Verdict {
@@ -91,7 +91,10 @@
     suite.assertionResults.map((test) => ({ ...test, file: suite.name }))
   );
   const failed = results.filter(({ status }) => status === "failed");
-  function isListed(test: (typeof results)[number], entry: KnownRed): boolean {
+  function isListed(
+    test: (typeof results)[number],
+    entry: KnownFailure,
+  ): boolean {
     return test.file.endsWith(`/${entry.file}`) && test.fullName === entry.name;
   }
   const isAllListed = failed.length > 0 &&
