--- a/packages/coordination/bench/overload_model.ts
+++ b/packages/coordination/bench/overload_model.ts
@@ -12,7 +12,7 @@
   | "admission";
 
 export interface GoodputResult {
-  /** Answers within their deadline, divided by the capacity. */
+  /** Answers within their deadline, divided by the answers at full capacity. */
   readonly goodputShare: number;
   /**
    * Answers to the most urgent third of the requests within their deadline,
--- a/packages/coordination/bench/retry_model.ts
+++ b/packages/coordination/bench/retry_model.ts
@@ -23,7 +23,7 @@
   readonly usesHealth: boolean;
   /** Share of the attempts that fail at a healthy upstream. */
   readonly baseFailureShare: number;
-  /** Share of the upstreams that fail; 1 simulates a shared cause. */
+  /** Share of the upstreams that fail; 1 simulates a failure common to all. */
   readonly failedShare: number;
 }
 
