--- a/packages/coordination/bench/spread.ts
+++ b/packages/coordination/bench/spread.ts
@@ -187,7 +187,7 @@
     .reduce((sum, [, count]) => sum + count, 0);
   const bytesPerSecond = bytes / size.nodeCount / (options.durationMs / 1_000);
   console.log(
-    `propagation: ${size.nodeCount} nodes, ${size.domainCount} domains, ` +
+    `spread: ${size.nodeCount} nodes, ${size.domainCount} domains, ` +
       `${size.objectCount} objects, loss ${options.lossShare * 100}%, ` +
       `${changes.length} changes, ${restartedAtMs.size} nodes replaced`,
   );
