--- a/scripts/check_names.cjs
+++ b/scripts/check_names.cjs
@@ -1,4 +1,4 @@
-// Checks that every named function begins with a verb from docs/NAMING.md.
+// Checks that the name of each function begins with a verb of docs/NAMING.md.
 const fs = require("node:fs");
 const path = require("node:path");
 
@@ -8,8 +8,10 @@
 
 function readVerbs() {
   const page = fs.readFileSync(path.join(root, "docs/NAMING.md"), "utf8");
-  const list = page.split("\n## ")[0];
-  return new Set([...list.matchAll(/`([a-z]+)`/g)].map((match) => match[1]));
+  const verbSection = page.split("\n## ")[0];
+  return new Set(
+    [...verbSection.matchAll(/`([a-z]+)`/g)].map((match) => match[1]),
+  );
 }
 
 function listSources(folder) {
@@ -31,8 +33,10 @@
     if (name === undefined) return [];
     const verb = /^[a-z]+/.exec(name)?.[0] ?? "";
     if (verbs.has(verb)) return [];
-    const place = `${path.relative(root, file)}:${index + 1}`;
-    return [`${place}: function "${name}" does not begin with a listed verb`];
+    const location = `${path.relative(root, file)}:${index + 1}`;
+    return [
+      `${location}: function "${name}" does not begin with a listed verb`,
+    ];
   });
 }
 
--- a/scripts/known_red.ts
+++ b/scripts/known_red.ts
@@ -1,15 +1,17 @@
 /**
- * Known failures: reads `KNOWN-RED.txt` and decides whether a jest run passes
- * when only listed tests failed.
+ * Known test failures: parses `KNOWN-RED.txt` and decides whether a jest run
+ * passes, which it does if every failed test is listed there.
  */
 
 /** One test that is known to fail. */
 export interface KnownFailure {
-  /** File of the test, relative to the root. */
+  /** Path of the test file, relative to the project root. */
   readonly file: string;
   /** Full name of the test, its `describe` blocks included. */
   readonly name: string;
+  /** Command that reproduces the failure, with its seed. */
   readonly command: string;
+  /** Observed result. */
   readonly seen: string;
   readonly issue: string;
 }
@@ -18,7 +20,7 @@
   | { readonly kind: "parsed"; readonly entries: readonly KnownFailure[] }
   | { readonly kind: "invalid"; readonly message: string };
 
-/** The parts of jest's JSON report that count here. */
+/** The fields of jest's JSON report that the verdict depends on. */
 export interface JestReport {
   readonly numRuntimeErrorTestSuites: number;
   readonly wasInterrupted: boolean;
@@ -34,7 +36,7 @@
 
 export interface Verdict {
   readonly isPassed: boolean;
-  /** Text for a person. */
+  /** Human-readable status of each listed failure. */
   readonly lines: readonly string[];
 }
 
@@ -45,8 +47,8 @@
   const values = new Map<string, string>();
   for (const line of block.split("\n")) {
     const [, field = "", value = ""] = /^(\w+): *(.+)$/.exec(line) ?? [];
-    const isKnown = fields.some((known) => known === field);
-    if (!isKnown || values.has(field)) {
+    const isField = fields.some((name) => name === field);
+    if (!isField || values.has(field)) {
       return `Line "${line}" is not one of ${fields.join(", ")}, each once`;
     }
     values.set(field, value);
@@ -54,18 +56,20 @@
   const missing = fields.find((field) => !values.has(field));
   if (missing !== undefined) return `Entry "${block}" lacks "${missing}"`;
   const test = values.get("test")!;
-  const at = test.indexOf(separator);
-  if (at < 0) return `Test "${test}" must be "<file>${separator}<full name>"`;
+  const index = test.indexOf(separator);
+  if (index < 0) {
+    return `Test "${test}" must be "<file>${separator}<full name>"`;
+  }
   return {
-    file: test.slice(0, at),
-    name: test.slice(at + separator.length),
+    file: test.slice(0, index),
+    name: test.slice(index + separator.length),
     command: values.get("command")!,
     seen: values.get("seen")!,
     issue: values.get("issue")!,
   };
 }
 
-/** Parses the list; entries are separated by blank lines, `#` begins a note. */
+/** Parses the list: entries separated by blank lines, and `#` comment lines. */
 export function parseKnownFailures(text: string): ParseOutcome {
   const lines = text.split("\n").map((line) => line.trimEnd());
   const blocks = lines.filter((line) => !line.startsWith("#")).join("\n")
@@ -79,7 +83,7 @@
   return { kind: "parsed", entries };
 }
 
-/** Decides on a run; `jestStatus` is jest's exit status. */
+/** Decides whether a run passes; `jestStatus` is jest's exit status. */
 export function decideRun(
   report: JestReport,
   { entries, jestStatus }: {
@@ -99,20 +103,21 @@
   }
   const isAllListed = failed.length > 0 &&
     failed.every((test) => entries.some((entry) => isListed(test, entry)));
-  const isWhole = report.numRuntimeErrorTestSuites === 0 &&
+  const isReportComplete = report.numRuntimeErrorTestSuites === 0 &&
     !report.wasInterrupted;
   const lines = entries.map((entry) => {
-    const own = results.filter((test) => isListed(test, entry));
+    const matches = results.filter((test) => isListed(test, entry));
     const label = `${entry.file}${separator}${entry.name}`;
-    if (own.some(({ status }) => status === "failed")) {
+    if (matches.some(({ status }) => status === "failed")) {
       return `Known red, failed: ${label} (${entry.issue})`;
     }
-    return own.some(({ status }) => status === "passed")
+    return matches.some(({ status }) => status === "passed")
       ? `Known red, passed; remove its entry: ${label}`
       : `Known red, not run: ${label}`;
   });
   return {
-    isPassed: jestStatus === 0 || (jestStatus === 1 && isWhole && isAllListed),
+    isPassed: jestStatus === 0 ||
+      (jestStatus === 1 && isReportComplete && isAllListed),
     lines,
   };
 }
--- a/scripts/settings_reference.ts
+++ b/scripts/settings_reference.ts
@@ -1,9 +1,9 @@
-/** Renders the reference of all settings from their schemas. */
+/** Renders the settings reference from the schemas. */
 import * as zod from "zod";
 import * as objects from "../packages/anvilhinge/src/settings/objects.ts";
 import * as process from "../packages/anvilhinge/src/settings/process.ts";
 
-/** The parts of JSON Schema that the schemas come out as. */
+/** The subset of JSON Schema that zod generates for the schemas. */
 interface Schema {
   readonly type?: string;
   readonly const?: unknown;
@@ -22,7 +22,7 @@
   readonly maxItems?: number;
 }
 
-/** Bounds that come from the number format, not from the schema. */
+/** Bound that zod adds to each integer; not a bound of the schema. */
 const largestInteger = Number.MAX_SAFE_INTEGER;
 
 function describeBounds(schema: Schema): string {
@@ -53,16 +53,16 @@
   return `${schema.type ?? "value"}${describeBounds(schema)}`;
 }
 
-/** Renders one line for each setting at and below the schema. */
+/** Renders a line for each setting of the schema, including nested ones. */
 function renderFields(schema: Schema, prefix: string): readonly string[] {
   return Object.entries(schema.properties ?? {}).flatMap(([name, field]) => {
     const path = `${prefix}${name}`;
     const isRequired = schema.required?.includes(name) ?? false;
-    const need = isRequired ? "required" : "optional";
+    const presence = isRequired ? "required" : "optional";
     const text = field.description === undefined
       ? ""
       : `: ${field.description}.`;
-    const line = `- \`${path}\` (${describeType(field)}; ${need})${text}`;
+    const line = `- \`${path}\` (${describeType(field)}; ${presence})${text}`;
     const nested = field.type === "array" ? field.items : field;
     const nextPrefix = field.type === "array" ? `${path}[].` : `${path}.`;
     return [line, ...nested ? renderFields(nested, nextPrefix) : []];
--- a/scripts/write_settings_reference.ts
+++ b/scripts/write_settings_reference.ts
@@ -1,4 +1,4 @@
-/** Writes the reference of all settings: `npm run reference`. */
+/** Writes the settings reference: `npm run reference`. */
 import * as fs from "node:fs";
 import * as path from "node:path";
 import * as settingsReference from "./settings_reference.ts";
