--- a/scripts/binary_system.ts
+++ b/scripts/binary_system.ts
@@ -1,6 +1,6 @@
 /**
- * Runs entries and agents as processes of the built binary, against stand-ins
- * of the platform and of one model group in this process.
+ * Runs entries and agents as processes of the built binary. The stand-ins of the
+ * platform and of one model group run in the calling process.
  */
 import * as childProcess from "node:child_process";
 import { once } from "node:events";
@@ -28,10 +28,10 @@
 /** One process of the binary. */
 export interface BinaryProcess {
   readonly id: string;
-  /** Address for callers (entries) or for entries (agents). */
+  /** Address that serves callers (for entries) or entries (for agents). */
   readonly address: string;
   readonly process: childProcess.ChildProcess;
-  /** Standard output and error so far. */
+  /** Returns the standard output and standard error so far. */
   getOutput(): string;
 }
 
@@ -39,9 +39,9 @@
   readonly entries: readonly BinaryProcess[];
   readonly agents: readonly BinaryProcess[];
   readonly engine: modelEngine.ModelEngine;
-  /** Base URL of each rank's engine. */
+  /** Base URL of the engine of each rank, by rank. */
   readonly engineUrls: readonly string[];
-  /** Kills what still runs and closes the stand-ins. */
+  /** Kills the processes that still run and closes the stand-ins. */
   close(): Promise<void>;
 }
 
@@ -75,17 +75,20 @@
   return { id, process: child, getOutput: () => output };
 }
 
-/** Resolves to the groups of `pattern` once the process has written it. */
+/**
+ * Waits until the output matches `pattern`; resolves to the capture groups.
+ * Rejects if the process exits first.
+ */
 async function waitForOutput(
-  running: Omit<BinaryProcess, "address">,
+  child: Omit<BinaryProcess, "address">,
   pattern: RegExp,
 ): Promise<readonly string[]> {
   for (;;) {
-    const match = pattern.exec(running.getOutput());
+    const match = pattern.exec(child.getOutput());
     if (match !== null) return match.slice(1);
-    const { exitCode, signalCode } = running.process;
+    const { exitCode, signalCode } = child.process;
     if (exitCode !== null || signalCode !== null) {
-      throw new Error(`${running.id} ended: ${running.getOutput()}`);
+      throw new Error(`${child.id} exited: ${child.getOutput()}`);
     }
     await new Promise((resolve) => setTimeout(resolve, 20));
   }
@@ -95,7 +98,7 @@
   api: objectApi.ObjectApi,
   agents: readonly string[],
 ): Promise<void> {
-  const texts: Readonly<Record<string, unknown>> = {
+  const settings: Readonly<Record<string, unknown>> = {
     "models/drafting": { maxTokens: 4096, timeoutMs: 60_000 },
     "workspaces/milan": {
       models: ["drafting"],
@@ -124,7 +127,7 @@
     at: "2026-01-01T00:00:00.000Z",
     previousVersion: 0,
   };
-  for (const [name, value] of Object.entries(texts)) {
+  for (const [name, value] of Object.entries(settings)) {
     const text = JSON.stringify(value);
     const key = record.formatKey(`${teamPath}/${name}`);
     const stored = record.buildRecord(undefined, { text, change });
@@ -138,7 +141,7 @@
   }, { ifVersion: 0 });
 }
 
-/** Starts everything; resolves when all processes serve. */
+/** Starts the stand-ins and all processes; resolves when all processes serve. */
 export async function startBinarySystem(
   options: BinarySystemOptions,
 ): Promise<BinarySystem> {
@@ -156,11 +159,11 @@
     rankCount,
     stepMs: options.stepMs,
   });
-  const common = { faults: faults.createFaultSwitch(), scheduler };
-  const store = await objectApiHttp.createObjectApiHttp({ ...common, api })
+  const httpOptions = { faults: faults.createFaultSwitch(), scheduler };
+  const store = await objectApiHttp.createObjectApiHttp({ ...httpOptions, api })
     .listen(listen);
   const list = await instanceListHttp.createInstanceListHttp({
-    ...common,
+    ...httpOptions,
     registry,
   }).listen(listen);
   const engines = await Promise.all(
@@ -178,7 +181,7 @@
   const platform = { objectStore: store.baseUrl, instanceList: list.baseUrl };
   const address = { host, port: 0 };
 
-  async function start(
+  async function startWithSettings(
     role: "entry" | "agent",
     settings: Readonly<Record<string, unknown>> & { readonly id: string },
   ): Promise<Omit<BinaryProcess, "address">> {
@@ -189,7 +192,7 @@
 
   async function startEntry(index: number) {
     const id = `entry-${index + 1}`;
-    const running = await start("entry", {
+    const running = await startWithSettings("entry", {
       id,
       half: "association",
       address,
@@ -200,18 +203,18 @@
       addressAnswerTtlMs,
     });
     const pattern = /Serves callers on ([\d.:]+) and agents on ([\d.:]+)/;
-    const found = await waitForOutput(running, pattern);
-    const [callers, controlAddress] = found as [string, string];
+    const matches = await waitForOutput(running, pattern);
+    const [callerAddress, controlAddress] = matches as [string, string];
     registry.register({
       id,
       role: "entry",
       half: "association",
-      address: callers,
+      address: callerAddress,
       controlAddress,
       failureDomain: "milan_a",
       state: "live",
     });
-    return { ...running, address: callers, controlAddress };
+    return { ...running, address: callerAddress, controlAddress };
   }
 
   const entries = await Promise.all(
@@ -219,7 +222,7 @@
   );
 
   async function startAgent(rank: number): Promise<BinaryProcess> {
-    const running = await start("agent", {
+    const running = await startWithSettings("agent", {
       id: `agent-${rank}`,
       group: groupName,
       rank,
@@ -230,8 +233,8 @@
       platform,
       engine: { url: engines[rank]!.baseUrl, kind: "model" },
     });
-    const found = await waitForOutput(running, /Serves rank .* on ([\d.:]+)/);
-    return { ...running, address: found[0]! };
+    const matches = await waitForOutput(running, /Serves rank .* on ([\d.:]+)/);
+    return { ...running, address: matches[0]! };
   }
 
   const agents = await Promise.all(
@@ -242,7 +245,7 @@
     entries,
     agents,
     engine,
-    engineUrls: engines.map((address) => address.baseUrl),
+    engineUrls: engines.map((server) => server.baseUrl),
     async close() {
       for (const { process } of [...entries, ...agents]) {
         if (process.exitCode !== null || process.signalCode !== null) continue;
--- a/scripts/build.ts
+++ b/scripts/build.ts
@@ -1,6 +1,7 @@
 /**
- * Builds the one binary `dist/anvilhinge`: bundles the program with esbuild and
- * injects it, with the playground's settings, into a copy of the runtime.
+ * Builds the single executable `dist/anvilhinge`: bundles the program with
+ * esbuild and injects the bundle, together with the playground settings, into a
+ * copy of the Node.js runtime.
  */
 import * as childProcess from "node:child_process";
 import * as fs from "node:fs/promises";
@@ -15,12 +16,12 @@
 const blobFile = nodePath.join(dist, "anvilhinge.blob");
 const assetFile = nodePath.join(dist, defaultSettings.settingsAsset);
 const configFile = nodePath.join(dist, "sea.json");
-/** Marks the place of the blob in the runtime; defined by Node.js. */
+/** Marker in the Node.js runtime where the blob is injected. */
 const sentinelFuse = "NODE_SEA_FUSE_fce680ab2cc467b6e072b8b5df1996b2";
 const executableMode = 0o755;
 
-/** Optional parts of bunyan that need a native addon or write files. */
-const externals = ["dtrace-provider", "mv", "safe-json-stringify"];
+/** Optional dependencies of bunyan that need a native addon or write files. */
+const externalModules = ["dtrace-provider", "mv", "safe-json-stringify"];
 
 async function writeBundle(): Promise<void> {
   await esbuild.build({
@@ -31,7 +32,7 @@
     format: "cjs",
     target: "node22",
     mainFields: ["module", "main"],
-    external: externals,
+    external: externalModules,
     logLevel: "warning",
   });
 }
@@ -39,11 +40,15 @@
 async function writeAssets(): Promise<void> {
   const folder = nodePath.join(root, "playground");
   const sources = await objectFiles.readObjectSources(folder);
-  const shown = sources.map(({ path, text }) => ({ path, text, file: path }));
-  await fs.writeFile(assetFile, JSON.stringify(shown));
+  const embedded = sources.map(({ path, text }) => ({
+    path,
+    text,
+    file: path,
+  }));
+  await fs.writeFile(assetFile, JSON.stringify(embedded));
 }
 
-/** Runs a tool to its end; throws with its output when it fails. */
+/** Runs a tool until it exits; throws with its output if it fails. */
 function runTool(file: string, args: readonly string[]): void {
   childProcess.execFileSync(file, args, { cwd: root, stdio: "pipe" });
 }
--- a/scripts/build_platform.cjs
+++ b/scripts/build_platform.cjs
@@ -1,5 +1,5 @@
-// Builds what runs on the users' platform into target/: one bundle and the
-// Node.js runtime of the lock file.
+// Builds the deployment for the users' platform into target/: the bundle and the
+// Node.js runtime that the lock file pins.
 const fs = require("node:fs");
 const path = require("node:path");
 const esbuild = require("esbuild");
@@ -18,13 +18,13 @@
   format: "cjs",
   target: "node20",
   mainFields: ["module", "main"],
-  // Optional parts of bunyan that need a native addon or write files.
+  // Optional dependencies of bunyan that need a native addon or write files.
   external: ["dtrace-provider", "mv", "safe-json-stringify"],
   logLevel: "warning",
 });
 const runtime = require.resolve("platform-runtime/bin/node");
-// Renamed into place: a runtime that is in use can't be written over.
-const copied = path.join(target, "node.new");
-fs.copyFileSync(runtime, copied);
-fs.chmodSync(copied, 0o755);
-fs.renameSync(copied, path.join(target, "node"));
+// Replaced by a rename, because a running executable can't be overwritten.
+const newRuntime = path.join(target, "node.new");
+fs.copyFileSync(runtime, newRuntime);
+fs.chmodSync(newRuntime, 0o755);
+fs.renameSync(newRuntime, path.join(target, "node"));
--- a/scripts/capacity/control.ts
+++ b/scripts/capacity/control.ts
@@ -1,4 +1,4 @@
-/** Measures the control mechanisms of an entry at several sizes. */
+/** Measures the cost of an entry's control mechanisms at several sizes. */
 import * as rendezvous from "@anvilhinge/coordination/rendezvous";
 import * as random from "@anvilhinge/coordination/random";
 import * as settingsReplica from "@anvilhinge/coordination/settings_replica";
@@ -16,26 +16,30 @@
 const warmUpMs = 20_000;
 const measuredMs = 60_000;
 const valueText = "x".repeat(600);
-const clusterObjects = 1_000;
+const clusterObjectCount = 1_000;
 
 function formatKey(index: number): string {
   return `settings/association/drafting/workspaces/workspace-${index}`;
 }
 
-interface SpreadCost {
+/** Cost of settings propagation and membership. */
+interface PropagationCost {
+  /** Bytes that one node sends. */
   readonly bytesPerSecond: number;
+  /** Object store calls of all nodes. */
   readonly callsPerSecond: number;
   readonly watches: number;
   readonly cpuUsPerSecond: number;
-  readonly slowestMs: number;
+  /** Longest time from a write until a node applied it. */
+  readonly maxDelayMs: number;
 }
 
-/** Runs gossip and membership of `nodeCount` entries under changes. */
-async function measureSpread(nodeCount: number): Promise<SpreadCost> {
+/** Simulates gossip and membership of `nodeCount` entries while settings change. */
+async function measurePropagation(nodeCount: number): Promise<PropagationCost> {
   const queue = eventQueue.createEventQueue();
   const source = random.createRandomSource(seed);
-  const writtenMs = new Map<number, number>();
-  let slowestMs = 0;
+  const writtenAtMs = new Map<number, number>();
+  let maxDelayMs = 0;
   const cluster = fakeCluster.createFakeCluster({
     queue,
     random: source,
@@ -45,14 +49,14 @@
     lossShare: 0.01,
     onApply(_node, objects) {
       for (const { version } of objects) {
-        const atMs = writtenMs.get(version);
+        const atMs = writtenAtMs.get(version);
         if (atMs !== undefined) {
-          slowestMs = Math.max(slowestMs, queue.now() - atMs);
+          maxDelayMs = Math.max(maxDelayMs, queue.now() - atMs);
         }
       }
     },
   });
-  for (let index = 0; index < clusterObjects; index += 1) {
+  for (let index = 0; index < clusterObjectCount; index += 1) {
     cluster.write(formatKey(index), valueText);
   }
   cluster.startAll();
@@ -61,8 +65,8 @@
   for (let second = 0; second < measuredMs / 1_000; second += 1) {
     queue.schedule(() => {
       if (source() > changesPerSecond) return;
-      const index = Math.floor(source() * clusterObjects);
-      writtenMs.set(cluster.write(formatKey(index), valueText), queue.now());
+      const index = Math.floor(source() * clusterObjectCount);
+      writtenAtMs.set(cluster.write(formatKey(index), valueText), queue.now());
     }, second * 1_000 + source() * 1_000);
   }
   const cpuUs = await measure.measureCpuUs(() => {
@@ -78,7 +82,7 @@
     callsPerSecond: calls * 1_000 / measuredMs,
     watches: cluster.countWatches(),
     cpuUsPerSecond: cpuUs / nodeSeconds,
-    slowestMs,
+    maxDelayMs,
   };
 }
 
@@ -137,17 +141,17 @@
   return cpuUs / rounds;
 }
 
-/** Share of workspaces whose first entry changes when one of `count` leaves. */
+/** Returns the share of workspaces whose first entry changes if one leaves. */
 function measureChurn(count: number): number {
   const members = createMembers(count);
-  const workspaces = 20_000;
-  let moved = 0;
-  for (let index = 0; index < workspaces; index += 1) {
+  const workspaceCount = 20_000;
+  let movedCount = 0;
+  for (let index = 0; index < workspaceCount; index += 1) {
     const key = `workspace-${index}`;
     const [first] = rendezvous.selectMembers(members, { key, count: 1 });
-    if (first === members[0]) moved += 1;
+    if (first === members[0]) movedCount += 1;
   }
-  return moved / workspaces;
+  return movedCount / workspaceCount;
 }
 
 function collect(
@@ -159,37 +163,49 @@
 
 /** Measures all control mechanisms; takes about a minute. */
 export async function measureControl(): Promise<readonly table.CostRow[]> {
-  const spreads: SpreadCost[] = [];
-  for (const count of nodeCounts) spreads.push(await measureSpread(count));
+  const costs: PropagationCost[] = [];
+  for (const count of nodeCounts) costs.push(await measurePropagation(count));
   const replicas = [];
   for (const count of objectCounts) replicas.push(await measureReplica(count));
-  const answers: number[] = [];
-  for (const count of nodeCounts) answers.push(await measureAddresses(count));
-  const spreadRow = (
+  const answerUs: number[] = [];
+  for (const count of nodeCounts) answerUs.push(await measureAddresses(count));
+  const buildPropagationRow = (
     name: string,
     unit: string,
-    read: (cost: SpreadCost) => number,
+    read: (cost: PropagationCost) => number,
   ): table.CostRow => ({
     mechanism: "settings spreading and membership",
     cost: name,
     unit,
     sizeUnit: "entries",
-    samples: collect(nodeCounts, spreads.map(read)),
+    samples: collect(nodeCounts, costs.map(read)),
     targetSize: 430,
   });
   return [
-    spreadRow("sent by a node", "bytes/s", (cost) => cost.bytesPerSecond),
-    spreadRow("processor of a node", "us/s", (cost) => cost.cpuUsPerSecond),
-    spreadRow(
+    buildPropagationRow(
+      "sent by a node",
+      "bytes/s",
+      (cost) => cost.bytesPerSecond,
+    ),
+    buildPropagationRow(
+      "processor of a node",
+      "us/s",
+      (cost) => cost.cpuUsPerSecond,
+    ),
+    buildPropagationRow(
       "object API, all nodes",
       "calls/s",
       (cost) => cost.callsPerSecond,
     ),
-    spreadRow("waiting watches, all nodes", "calls", (cost) => cost.watches),
-    spreadRow(
+    buildPropagationRow(
+      "waiting watches, all nodes",
+      "calls",
+      (cost) => cost.watches,
+    ),
+    buildPropagationRow(
       "slowest change at the slowest node",
       "ms",
-      (cost) => cost.slowestMs,
+      (cost) => cost.maxDelayMs,
     ),
     {
       mechanism: "settings replica",
@@ -212,7 +228,7 @@
       cost: "one answer",
       unit: "us",
       sizeUnit: "entries",
-      samples: collect(nodeCounts, answers),
+      samples: collect(nodeCounts, answerUs),
       targetSize: 430,
     },
     {
--- a/scripts/capacity/fit.ts
+++ b/scripts/capacity/fit.ts
@@ -1,4 +1,4 @@
-/** Fits measured costs to a straight line and to a power of the size. */
+/** Fits measured costs to a straight line and to a power law of the size. */
 
 /** One measured cost at one size. */
 export interface Sample {
@@ -7,12 +7,12 @@
 }
 
 export interface Fit {
-  /** Cost a unit of size, of the straight line. */
+  /** Cost per unit of size, from the straight line. */
   readonly slope: number;
   readonly intercept: number;
-  /** Root mean square distance from the line, over the mean value. */
+  /** Root mean square error of the line, divided by the mean value. */
   readonly residual: number;
-  /** Exponent of growth between the sizes: 0 constant, 1 linear. */
+  /** Exponent of the power law: 0 is constant, 1 is linear. */
   readonly exponent: number;
 }
 
@@ -35,7 +35,7 @@
   return { slope, intercept: meanY - slope * meanX };
 }
 
-/** Fits three samples or more. */
+/** Fits at least three samples. */
 export function fitSamples(samples: readonly Sample[]): Fit {
   const line = fitLine(samples.map(({ size, value }) => [size, value]));
   const squares = samples.map(({ size, value }) =>
@@ -56,7 +56,7 @@
   };
 }
 
-/** Value of the fitted line at a size. */
+/** Returns the value of the fitted line at a size. */
 export function estimateValue(fit: Fit, size: number): number {
   return fit.intercept + fit.slope * size;
 }
--- a/scripts/capacity/main.ts
+++ b/scripts/capacity/main.ts
@@ -1,6 +1,6 @@
 /**
- * Measures the slopes of all mechanisms in one run and writes the tables into
- * docs/CAPACITY.md: `npm run capacity`. The prose of the page is by hand.
+ * Measures the costs of all mechanisms in one run and writes the table into
+ * docs/CAPACITY.md: `npm run capacity`. The prose of the page is written by hand.
  */
 import * as fs from "node:fs/promises";
 import * as nodePath from "node:path";
@@ -9,18 +9,20 @@
 import * as work from "./work.ts";
 
 const page = nodePath.join(__dirname, "../../docs/CAPACITY.md");
-const beginMark = "<!-- measured: begin -->";
-const endMark = "<!-- measured: end -->";
+const beginMarker = "<!-- measured: begin -->";
+const endMarker = "<!-- measured: end -->";
 
 async function writePage(text: string): Promise<void> {
-  const present = await fs.readFile(page, "utf8");
-  const begin = present.indexOf(beginMark);
-  const end = present.indexOf(endMark);
+  const current = await fs.readFile(page, "utf8");
+  const begin = current.indexOf(beginMarker);
+  const end = current.indexOf(endMarker);
   if (begin < 0 || end < begin) {
-    throw new Error(`${page} lacks the marks ${beginMark} and ${endMark}`);
+    throw new Error(
+      `${page} lacks the markers ${beginMarker} and ${endMarker}`,
+    );
   }
-  const next = `${present.slice(0, begin + beginMark.length)}\n\n${text}\n\n${
-    present.slice(end)
+  const next = `${current.slice(0, begin + beginMarker.length)}\n\n${text}\n\n${
+    current.slice(end)
   }`;
   await fs.writeFile(page, next);
 }
--- a/scripts/capacity/table.ts
+++ b/scripts/capacity/table.ts
@@ -1,15 +1,15 @@
-/** Renders measured costs and their fits as Markdown tables. */
+/** Renders measured costs and their fits as a Markdown table. */
 import * as fit from "./fit.ts";
 
-/** One cost of one mechanism, measured at three sizes or more. */
+/** A cost of a mechanism, measured at three sizes or more. */
 export interface CostRow {
   readonly mechanism: string;
   readonly cost: string;
   readonly unit: string;
-  /** What the size counts. */
+  /** Unit of the sizes, for example `entries`. */
   readonly sizeUnit: string;
   readonly samples: readonly fit.Sample[];
-  /** Size to design for. */
+  /** Size that the system is designed for. */
   readonly targetSize: number;
 }
 
@@ -49,7 +49,7 @@
 
 /** Renders all rows as one table. */
 export function renderTable(rows: readonly CostRow[]): string {
-  const heads = [
+  const headers = [
     "Mechanism",
     "Cost",
     "Measured",
@@ -59,8 +59,8 @@
     "At the size to design for",
   ];
   return [
-    `| ${heads.join(" | ")} |`,
-    `| ${heads.map(() => "---").join(" | ")} |`,
+    `| ${headers.join(" | ")} |`,
+    `| ${headers.map(() => "---").join(" | ")} |`,
     ...rows.map(renderRow),
   ].join("\n");
 }
--- a/scripts/capacity/work.ts
+++ b/scripts/capacity/work.ts
@@ -1,4 +1,4 @@
-/** Measures the work path: choice, sessions, held frames and the streams. */
+/** Measures the request path: upstream selection, retained frames and streams. */
 import * as choice from "@anvilhinge/coordination/choice";
 import * as clock from "@anvilhinge/coordination/clock";
 import * as random from "@anvilhinge/coordination/random";
@@ -17,11 +17,12 @@
 const seed = 1;
 const upstreamCounts = [1_000, 5_500, 11_000];
 const batchSizes = [1, 4, 16, 64];
-const heldCounts = [32, 128, 512];
+const answerCounts = [32, 128, 512];
 const tokensPerAnswer = 300;
-const models = 26;
+const modelCount = 26;
 const rankCount = 128;
-const event = Buffer.from(
+/** One token as a server-sent event. */
+const tokenEvent = Buffer.from(
   `data: ${
     JSON.stringify({
       id: "chatcmpl-1",
@@ -38,11 +39,11 @@
     nodeId: "entry-0",
     location: { failureDomain: "domain-0", region: "region-0" },
   });
-  const perModel = Math.floor(count / models);
-  for (let model = 0; model < models; model += 1) {
+  const upstreamsPerModel = Math.floor(count / modelCount);
+  for (let model = 0; model < modelCount; model += 1) {
     chooser.setPool(
       `model-${model}`,
-      Array.from({ length: perModel }, (_, index) => ({
+      Array.from({ length: upstreamsPerModel }, (_, index) => ({
         id: `group-${model}-${Math.floor(index / rankCount)}/${index}`,
         group: `group-${model}-${Math.floor(index / rankCount)}`,
         failureDomain: `domain-${index % 10}`,
@@ -59,9 +60,9 @@
   const tried = new Set<string>();
   const rounds = 50_000;
 
-  function choose(times: number): void {
-    for (let round = 0; round < times; round += 1) {
-      const outcome = chooser.choose(`model-${round % models}`, { tried });
+  function choose(choiceCount: number): void {
+    for (let round = 0; round < choiceCount; round += 1) {
+      const outcome = chooser.choose(`model-${round % modelCount}`, { tried });
       if (outcome.kind !== "chosen") throw new Error(outcome.kind);
       chooser.recordSent(outcome.upstream.id);
       chooser.recordEnded(outcome.upstream.id, { isCompleted: true });
@@ -73,8 +74,9 @@
   return { bytes, cpuUs: cpuUs / rounds };
 }
 
-function createHeldAttempts(count: number): attempts.Attempts {
-  const table = attempts.createAttempts({
+/** Creates the attempts of an agent that retains `count` complete answers. */
+function createRetainedAttempts(count: number): attempts.Attempts {
+  const agentAttempts = attempts.createAttempts({
     clock: clock.createManualClock(),
     group: "group",
     rank: 0,
@@ -82,7 +84,7 @@
     maxRunning: count,
     readLoad: () => ({ running: 0, queued: 0, stepUs: 0 }),
   });
-  table.setAssignment({
+  agentAttempts.setAssignment({
     group: "group",
     half: "association",
     epoch: 1,
@@ -90,7 +92,7 @@
   });
   for (let index = 0; index < count; index += 1) {
     const attemptId = `attempt-${index}`;
-    const outcome = table.offer({
+    const outcome = agentAttempts.offer({
       requestId: `request-${index}`,
       attemptId,
       workspace: "drafting/milan",
@@ -106,37 +108,42 @@
       work: { kind: "model", model: "drafting", body: new Uint8Array() },
     }, () => {});
     if (outcome.kind !== "start") throw new Error(outcome.kind);
-    table.receiveEvent(attemptId, {
+    agentAttempts.receiveEvent(attemptId, {
       kind: "head",
       head: { status: 200, headers: [] },
     });
     for (let token = 0; token < tokensPerAnswer; token += 1) {
-      const data = Uint8Array.from(event);
-      table.receiveEvent(attemptId, { kind: "data", data });
+      const data = Uint8Array.from(tokenEvent);
+      agentAttempts.receiveEvent(attemptId, { kind: "data", data });
     }
   }
-  return table;
+  return agentAttempts;
 }
 
-async function measureHeld(count: number) {
-  const before = process.memoryUsage().arrayBuffers;
-  const bytes = measure.measureRetainedBytes(() => createHeldAttempts(count));
-  const buffers = process.memoryUsage().arrayBuffers - before;
+async function measureRetained(count: number) {
+  const buffersBefore = process.memoryUsage().arrayBuffers;
+  const bytes = measure.measureRetainedBytes(() =>
+    createRetainedAttempts(count)
+  );
+  const bufferBytes = process.memoryUsage().arrayBuffers - buffersBefore;
   const cpuUs = await measure.measureCpuUs(() => {
-    createHeldAttempts(count);
+    createRetainedAttempts(count);
   });
   return {
-    bytes: bytes + Math.max(0, buffers),
+    bytes: bytes + Math.max(0, bufferBytes),
     cpuUs: cpuUs / count / tokensPerAnswer,
   };
 }
 
-/** Processor time of both ends for a token when a frame carries several. */
+/**
+ * Measures the processor time of both ends per token for frames that carry
+ * several tokens.
+ */
 async function measureStream(tokensPerFrame: number): Promise<number> {
   const abort = new AbortController();
   const frameCount = Math.ceil(8_000 / tokensPerFrame);
   const data = Buffer.concat(
-    Array.from({ length: tokensPerFrame }, () => event),
+    Array.from({ length: tokensPerFrame }, () => tokenEvent),
   );
   const address = await connectServer.startConnectServer({
     host: "127.0.0.1",
@@ -152,7 +159,8 @@
               sequence,
               body: { kind: "chunk", data },
             });
-            // Leaves the loop between frames, as arriving tokens do.
+            // Yields to the event loop between frames, as in a stream whose
+            // tokens arrive one after another.
             await new Promise(setImmediate);
           }
         },
@@ -173,8 +181,10 @@
 
   async function consume(): Promise<void> {
     const point = { requestId: "r", attemptId: "a", group: "g", rank: 0 };
-    for await (const wire of client.run({ requestId: "r", attemptId: "a" })) {
-      const frame: frames.Frame | undefined = frameCodec.decodeFrame(wire);
+    for await (
+      const message of client.run({ requestId: "r", attemptId: "a" })
+    ) {
+      const frame: frames.Frame | undefined = frameCodec.decodeFrame(message);
       if (frame?.body.kind !== "chunk") continue;
       const { sequence } = frame;
       eventId.insertEventIds(frame.body.data, {
@@ -197,14 +207,14 @@
   return sizes.map((size, index) => ({ size, value: values[index] ?? 0 }));
 }
 
-/** Measures the work path; takes about half a minute. */
+/** Measures the request path; takes about half a minute. */
 export async function measureWork(): Promise<readonly table.CostRow[]> {
   const choices = [];
   for (const count of upstreamCounts) choices.push(await measureChoice(count));
-  const held = [];
-  for (const count of heldCounts) held.push(await measureHeld(count));
-  const streams: number[] = [];
-  for (const size of batchSizes) streams.push(await measureStream(size));
+  const retained = [];
+  for (const count of answerCounts) retained.push(await measureRetained(count));
+  const streamCostsUs: number[] = [];
+  for (const size of batchSizes) streamCostsUs.push(await measureStream(size));
   return [
     {
       mechanism: "choice of upstream",
@@ -227,7 +237,10 @@
       cost: "state of an agent",
       unit: "bytes",
       sizeUnit: "answers of 300 tokens",
-      samples: collect(heldCounts, held.map(({ bytes }) => bytes)),
+      samples: collect(
+        answerCounts,
+        retained.map(({ bytes }) => bytes),
+      ),
       targetSize: 128,
     },
     {
@@ -235,7 +248,10 @@
       cost: "one token",
       unit: "us",
       sizeUnit: "answers of 300 tokens",
-      samples: collect(heldCounts, held.map(({ cpuUs }) => cpuUs)),
+      samples: collect(
+        answerCounts,
+        retained.map(({ cpuUs }) => cpuUs),
+      ),
       targetSize: 128,
     },
     {
@@ -243,7 +259,7 @@
       cost: "one token, both ends",
       unit: "us",
       sizeUnit: "tokens a frame",
-      samples: collect(batchSizes, streams),
+      samples: collect(batchSizes, streamCostsUs),
       targetSize: 16,
     },
   ];
--- a/scripts/demo.sh
+++ b/scripts/demo.sh
@@ -1,5 +1,5 @@
 #!/usr/bin/env bash
-# Installs what is missing, then runs the demo.
+# Installs the dependencies if they are missing, then runs the demo.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 [ -x node_modules/.bin/tsx ] || npm ci --no-audit --no-fund
--- a/scripts/demo.ts
+++ b/scripts/demo.ts
@@ -1,6 +1,6 @@
 /**
- * Starts the whole system on loopback, sends a mixed load of both workloads,
- * prints a report, and exits with 1 when a promise was broken.
+ * Starts the complete system on loopback, sends a mixed load of both workloads,
+ * prints a report, and exits with 1 if a guarantee was violated.
  */
 import * as nodePath from "node:path";
 import * as random from "@anvilhinge/coordination/random";
@@ -15,29 +15,32 @@
 const requestCount = 600;
 const concurrency = 48;
 const readyPollMs = 100;
-const progressStep = 100;
+/** Number of requests between two progress lines. */
+const progressInterval = 100;
 const seed = 1;
 
 function listWorkloads(
-  all: readonly objects.SettingsObject[],
+  allObjects: readonly objects.SettingsObject[],
 ): readonly load.Workload[] {
-  const halves = [...new Set(all.map(({ path }) => path.half))];
+  const halves = [...new Set(allObjects.map(({ path }) => path.half))];
   return halves.map((half) => {
-    const own = all.filter(({ path }) => path.half === half);
-    const listNames = (kind: string) =>
-      own.filter(({ path }) => path.kind === kind).map(({ path }) => path);
+    const ownObjects = allObjects.filter(({ path }) => path.half === half);
+    const listPaths = (kind: string) =>
+      ownObjects.filter(({ path }) => path.kind === kind).map(({ path }) =>
+        path
+      );
     return {
       half,
-      model: listNames("models")[0]!.name,
-      service: listNames("services")[0]!.name,
-      workspaces: listNames("workspaces").map(({ team, name }) =>
+      model: listPaths("models")[0]!.name,
+      service: listPaths("services")[0]!.name,
+      workspaces: listPaths("workspaces").map(({ team, name }) =>
         `${team}/${name}`
       ),
     };
   });
 }
 
-/** Resolves when each group admits work. */
+/** Sends small loads until one shows that each group admits work. */
 async function waitUntilServing(
   options: Omit<
     load.LoadOptions,
@@ -62,13 +65,13 @@
     .join(", ");
 }
 
-/** Slowest rank over the mean rank in each group's last step. */
+/** Describes the slowest over the mean rank time of each group's last step. */
 function describeSkew(running: system.RunningSystem): string {
   return running.groups.flatMap(({ name, engine }) => {
     if (engine === undefined) return [];
     const { rankUs } = engine.readStep();
-    const mean = rankUs.reduce((sum, us) => sum + us, 0) / rankUs.length;
-    const skew = mean === 0 ? 1 : Math.max(...rankUs) / mean;
+    const meanUs = rankUs.reduce((sum, us) => sum + us, 0) / rankUs.length;
+    const skew = meanUs === 0 ? 1 : Math.max(...rankUs) / meanUs;
     return [`${name} ${skew.toFixed(2)}`];
   }).join(", ");
 }
@@ -76,14 +79,14 @@
 function printReport(report: load.LoadReport, skew: string): void {
   const lines: readonly (readonly [string, string | number])[] = [
     ["Requests", report.requests],
-    ["Whole answers, byte for byte", report.whole],
-    ["Told that they did not run", report.notRun],
-    ["Ended with an error that says so", report.failed],
-    ["Wrong answers", report.wrong],
+    ["Correct answers, byte for byte", report.whole],
+    ["Refused and not run", report.notRun],
+    ["Ended with a reported error", report.failed],
+    ["Incorrect answers", report.wrong],
     ["Filings accepted", report.filings],
-    ["Filings doubled or lost", report.misfiled],
-    ["First token", describeTimes(report.firstToken)],
-    ["Between tokens", describeTimes(report.betweenTokens)],
+    ["Filings duplicated or lost", report.misfiled],
+    ["Time to first token", describeTimes(report.firstToken)],
+    ["Time between tokens", describeTimes(report.betweenTokens)],
     ["Step-time skew (slowest over mean)", skew],
   ];
   for (const [label, value] of lines) {
@@ -116,9 +119,9 @@
     ...options,
     requestCount,
     concurrency,
-    onProgress(done) {
-      if (done % progressStep === 0) {
-        console.log(`${done} of ${requestCount} requests`);
+    onProgress(completed) {
+      if (completed % progressInterval === 0) {
+        console.log(`${completed} of ${requestCount} requests`);
       }
     },
   });
@@ -131,7 +134,7 @@
     report.failed === 0;
 }
 
-runDemo().then((isKept) => {
-  console.log(isKept ? "All promises were kept" : "A promise was broken");
-  process.exitCode = isKept ? 0 : 1;
+runDemo().then((isPassed) => {
+  console.log(isPassed ? "All guarantees held" : "A guarantee was violated");
+  process.exitCode = isPassed ? 0 : 1;
 });
--- a/scripts/known_red.ts
+++ b/scripts/known_red.ts
@@ -56,13 +56,11 @@
   const missing = fields.find((field) => !values.has(field));
   if (missing !== undefined) return `Entry "${block}" lacks "${missing}"`;
   const test = values.get("test")!;
-  const index = test.indexOf(separator);
-  if (index < 0) {
-    return `Test "${test}" must be "<file>${separator}<full name>"`;
-  }
+  const end = test.indexOf(separator);
+  if (end < 0) return `Test "${test}" must be "<file>${separator}<full name>"`;
   return {
-    file: test.slice(0, index),
-    name: test.slice(index + separator.length),
+    file: test.slice(0, end),
+    name: test.slice(end + separator.length),
     command: values.get("command")!,
     seen: values.get("seen")!,
     issue: values.get("issue")!,
