--- a/jest.config.cjs
+++ b/jest.config.cjs
@@ -1,6 +1,6 @@
 module.exports = {
   testEnvironment: "node",
-  // Generous, so that a busy machine does not change the verdict.
+  // Long enough that a busy machine doesn't cause failures.
   testTimeout: 60_000,
   roots: ["<rootDir>/packages", "<rootDir>/platform", "<rootDir>/scripts"],
   testMatch: ["**/*_test.ts"],
