--- a/packages/coordination/bench/choice_balance.ts
+++ b/packages/coordination/bench/choice_balance.ts
@@ -12,9 +12,10 @@
 
 /** Selection of upstreams at one node. */
 export interface Strategy {
+  /** Returns the id of the chosen upstream. */
   choose(pool: number, prefixKeys: readonly number[]): string;
-  recordSent(id: string): void;
-  recordEnded(id: string, end: {
+  recordSent(upstreamId: string): void;
+  recordEnded(upstreamId: string, end: {
     readonly sentAtMs: number;
     readonly report: loadEstimate.LoadReport;
     readonly prefixKeys: readonly number[];
@@ -143,8 +144,8 @@
   const meanArrivalIntervalMs = meanWorkMs / (totalSlots * options.utilization);
 
   /** Adds the prefix to the cache; returns whether it was cached. */
-  function recordPrefix(id: string, key: number): boolean {
-    const cache = prefixCaches.get(id) as Map<number, true>;
+  function recordPrefix(upstreamId: string, key: number): boolean {
+    const cache = prefixCaches.get(upstreamId) as Map<number, true>;
     const isHit = cache.delete(key);
     cache.set(key, true);
     if (cache.size > prefixCacheCapacity) {
--- a/packages/coordination/bench/leases.ts
+++ b/packages/coordination/bench/leases.ts
@@ -40,8 +40,8 @@
   }));
 
   /**
-   * Cached candidate indexes by entry id and key. Cleared when the member list
-   * changes, since only this changes them.
+   * Cached candidate indexes by entry id and key; cleared when the member list
+   * changes, because they depend on nothing else.
    */
   const candidateIndexes = new Map<string, number>();
 
--- a/packages/coordination/bench/maps/main.ts
+++ b/packages/coordination/bench/maps/main.ts
@@ -129,8 +129,8 @@
 }
 
 /**
- * Parts to run: `tuning`, `held-out`, `planning` and `report`, which prints an
- * SVG file. By default, all parts except the report.
+ * Parts to run, from the command line: `tuning`, `held-out`, `planning` and
+ * `report`, which prints an SVG file. By default, all parts except the report.
  */
 const parts = process.argv.slice(2);
 
--- a/packages/coordination/bench/maps/policies.ts
+++ b/packages/coordination/bench/maps/policies.ts
@@ -34,6 +34,7 @@
 
 export const intervalMs = 10_000;
 export const expertBytes = 20_000_000;
+/** Rate at which a group loads expert weights. */
 export const bytesPerMs = 100_000;
 const tokensPerInterval = 50_000;
 /** Number of intervals between two maps of the policy `timer`. */
@@ -135,7 +136,7 @@
   }
 }
 
-/** Adds the tokens of one interval, with normally distributed counts. */
+/** Adds the token counts of one interval, with normally distributed noise. */
 function addTokens(
   countedTokens: number[][],
   { shares }: traces.TraceInterval,
--- a/scripts/build.ts
+++ b/scripts/build.ts
@@ -16,7 +16,7 @@
 const blobFile = nodePath.join(dist, "anvilhinge.blob");
 const assetFile = nodePath.join(dist, defaultSettings.settingsAsset);
 const configFile = nodePath.join(dist, "sea.json");
-/** Marker in the Node.js runtime where the blob is injected. */
+/** Marker, defined by Node.js, that locates the blob in the runtime. */
 const sentinelFuse = "NODE_SEA_FUSE_fce680ab2cc467b6e072b8b5df1996b2";
 const executableMode = 0o755;
 
--- a/scripts/demo.ts
+++ b/scripts/demo.ts
@@ -11,7 +11,7 @@
 import type * as objects from "../packages/anvilhinge/src/settings/objects.ts";
 import * as objectFiles from "../packages/anvilhinge/src/settings/object_files.ts";
 
-const root = nodePath.join(__dirname, "../playground");
+const playgroundFolder = nodePath.join(__dirname, "../playground");
 const requestCount = 600;
 const concurrency = 48;
 const readyPollMs = 100;
@@ -96,7 +96,7 @@
 
 async function runDemo(): Promise<boolean> {
   const abort = new AbortController();
-  const loaded = await objectFiles.loadObjectFiles(root);
+  const loaded = await objectFiles.loadObjectFiles(playgroundFolder);
   if (loaded.kind === "invalid") throw new Error(loaded.problems[0]?.message);
   const scheduler = systemScheduler.createSystemScheduler();
   console.log("Starting both halves on loopback");
--- a/scripts/known_red.ts
+++ b/scripts/known_red.ts
@@ -1,6 +1,6 @@
 /**
  * Known test failures: parses `KNOWN-RED.txt` and decides whether a jest run
- * passes, which it does if every failed test is listed there.
+ * passes although tests failed. It passes if the list contains all of them.
  */
 
 /** One test that is known to fail. */
@@ -49,12 +49,14 @@
     const [, field = "", value = ""] = /^(\w+): *(.+)$/.exec(line) ?? [];
     const isField = fields.some((name) => name === field);
     if (!isField || values.has(field)) {
-      return `Line "${line}" is not one of ${fields.join(", ")}, each once`;
+      return `Line "${line}" must set one of ${
+        fields.join(", ")
+      }, each only once`;
     }
     values.set(field, value);
   }
   const missing = fields.find((field) => !values.has(field));
-  if (missing !== undefined) return `Entry "${block}" lacks "${missing}"`;
+  if (missing !== undefined) return `Entry "${block}" lacks field "${missing}"`;
   const test = values.get("test")!;
   const end = test.indexOf(separator);
   if (end < 0) return `Test "${test}" must be "<file>${separator}<full name>"`;
