--- a/packages/anvilhinge/src/dev/default_settings.ts
+++ b/packages/anvilhinge/src/dev/default_settings.ts
@@ -6,7 +6,7 @@
 import * as objectFiles from "../settings/object_files.ts";
 
 /** Name of the binary's asset: a JSON array of object sources. */
-export const settingsAsset = "playground.json";
+export const settingsAssetName = "playground.json";
 
 const folderName = "playground";
 
@@ -26,7 +26,7 @@
 
 async function readSources(): Promise<readonly objects.ObjectSource[]> {
   if (sea.isSea()) {
-    return JSON.parse(sea.getAsset(settingsAsset, "utf8"));
+    return JSON.parse(sea.getAsset(settingsAssetName, "utf8"));
   }
   const folder = findFolder(__dirname);
   return folder === undefined
--- a/packages/anvilhinge/src/dev/load.ts
+++ b/packages/anvilhinge/src/dev/load.ts
@@ -45,7 +45,7 @@
   readonly wrong: number;
   readonly filings: number;
   /** Filings that the ledger holds more than once, or that were lost. */
-  readonly misfiled: number;
+  readonly filingErrors: number;
   /** Time to the first token in milliseconds. */
   readonly firstToken: histogram.Histogram;
   /** Time between tokens in milliseconds. */
@@ -108,7 +108,7 @@
         previousMs = nowMs;
       },
     });
-    const expected = answer.describeAnswer(body).join();
+    const expected = answer.generateTokens(body).join();
     if (outcome.kind === "complete") {
       counts[outcome.tokens.join() === expected ? "whole" : "wrong"] += 1;
     } else if (outcome.kind === "refused" && outcome.code === "not_run") {
@@ -196,7 +196,7 @@
     ...counts,
     requests: done,
     filings: accepted.length,
-    misfiled: countMisfiled(options.system, accepted),
+    filingErrors: countMisfiled(options.system, accepted),
     firstToken,
     betweenTokens,
   };
--- a/packages/anvilhinge/src/stand_ins/answer.ts
+++ b/packages/anvilhinge/src/stand_ins/answer.ts
@@ -60,7 +60,7 @@
  * Returns the tokens of the whole answer: 8 to 64 tokens that depend on the
  * model and the messages, cut to `max_tokens` when that is given.
  */
-export function describeAnswer(body: ChatBody): string[] {
+export function generateTokens(body: ChatBody): string[] {
   const draw = random.createRandomSource(computeSeed(body));
   const range = maximumTokens - minimumTokens + 1;
   const drawnTokens = minimumTokens + Math.floor(draw() * range);
--- a/packages/anvilhinge/src/stand_ins/chat_format.ts
+++ b/packages/anvilhinge/src/stand_ins/chat_format.ts
@@ -2,28 +2,28 @@
 import * as answer from "./answer.ts";
 
 /** Last line of an event stream. */
-export const doneLine = "data: [DONE]\n\n";
+export const doneEvent = "data: [DONE]\n\n";
 
 /** Returns the event of one token. */
 export function renderToken(body: answer.ChatBody, text: string): string {
   return renderChunk(body, { delta: { content: text }, finish_reason: null });
 }
 
-/** Returns the event that ends the answer, without `doneLine`. */
+/** Returns the event that ends the answer, without `doneEvent`. */
 export function renderFinish(body: answer.ChatBody): string {
   return renderChunk(body, { delta: {}, finish_reason: "stop" });
 }
 
 /** Returns the whole event stream of a request, byte for byte. */
 export function renderStream(body: answer.ChatBody): string {
-  const tokens = answer.describeAnswer(body)
+  const tokens = answer.generateTokens(body)
     .map((text) => renderToken(body, text));
-  return [...tokens, renderFinish(body), doneLine].join("");
+  return [...tokens, renderFinish(body), doneEvent].join("");
 }
 
 /** Returns the whole answer of a request without `stream`, byte for byte. */
 export function renderCompletion(body: answer.ChatBody): string {
-  const tokens = answer.describeAnswer(body);
+  const tokens = answer.generateTokens(body);
   const promptTokens = answer.extractPromptTokens(body).length;
   const message = { role: "assistant", content: tokens.join("") };
   return JSON.stringify({
--- a/packages/anvilhinge/src/stand_ins/engine_rank.ts
+++ b/packages/anvilhinge/src/stand_ins/engine_rank.ts
@@ -28,7 +28,7 @@
 export interface RankOptions {
   readonly scheduler: scheduler.Scheduler;
   readonly batchLimit: number;
-  readonly prefillTokens: number;
+  readonly prefillTokensPerStep: number;
   readonly cache: prefixCache.PrefixCacheOptions;
 }
 
@@ -90,8 +90,8 @@
   }
 
   function admit(job: Job): void {
-    const uncached = job.prompt.length - cache.countHit(job.prompt);
-    job.prefillSteps = Math.ceil(uncached / options.prefillTokens);
+    const uncached = job.prompt.length - cache.countCachedTokens(job.prompt);
+    job.prefillSteps = Math.ceil(uncached / options.prefillTokensPerStep);
     cache.store(job.prompt);
     running.push(job);
   }
@@ -149,7 +149,7 @@
 function createJob(request: RankRequest): Job {
   return {
     request,
-    tokens: answer.describeAnswer(request.body),
+    tokens: answer.generateTokens(request.body),
     prompt: answer.extractPromptTokens(request.body),
     draw: random.createRandomSource(answer.computeSeed(request.body)),
     settled: new AbortController(),
--- a/packages/anvilhinge/src/stand_ins/expert_step.ts
+++ b/packages/anvilhinge/src/stand_ins/expert_step.ts
@@ -68,7 +68,7 @@
   return holders.filter((rank) => load.ranks[rank]?.crashed === false);
 }
 
-export interface ExpertDraw {
+export interface RoutingOptions {
   readonly expertCount: number;
   readonly expertsPerToken: number;
   /** 1 is even; the larger, the more tokens go to the low-numbered experts. */
@@ -78,7 +78,7 @@
 /** Draws the experts of one token. */
 export function chooseExperts(
   draw: random.RandomSource,
-  { expertCount, expertsPerToken, skew }: ExpertDraw,
+  { expertCount, expertsPerToken, skew }: RoutingOptions,
 ): number[] {
   return Array.from(
     { length: expertsPerToken },
--- a/packages/anvilhinge/src/stand_ins/instance_list.ts
+++ b/packages/anvilhinge/src/stand_ins/instance_list.ts
@@ -15,7 +15,7 @@
   /** Adds an instance or replaces the one with the same identifier. */
   register(instance: ports.Instance): void;
   /** Marks an instance as leaving. */
-  leave(id: string): void;
+  markLeaving(id: string): void;
   remove(id: string): void;
   list(): readonly ports.Instance[];
 }
@@ -41,7 +41,7 @@
         ...list.filter(({ id }) => id !== instance.id),
         instance,
       ]),
-    leave: (leavingId) =>
+    markLeaving: (leavingId) =>
       update((list) =>
         list.map((instance) =>
           instance.id === leavingId
--- a/packages/anvilhinge/src/stand_ins/instance_list_http.ts
+++ b/packages/anvilhinge/src/stand_ins/instance_list_http.ts
@@ -49,7 +49,7 @@
     case "PUT":
       return register(request, { id, registry });
     case "POST/leave":
-      registry.leave(id);
+      registry.markLeaving(id);
       return httpServer.encodeJson(200, {});
     case "DELETE":
       registry.remove(id);
--- a/packages/anvilhinge/src/stand_ins/local_object_store.ts
+++ b/packages/anvilhinge/src/stand_ins/local_object_store.ts
@@ -75,7 +75,7 @@
     execute: () => objectApi.ApiWriteOutcome,
   ): Promise<objectStore.WriteOutcome> {
     return run<objectStore.WriteOutcome>({
-      execute: () => convertWrite(execute()),
+      execute: () => convertWriteOutcome(execute()),
       refused: unavailable,
       unanswered: unknown,
     });
@@ -103,7 +103,7 @@
 }
 
 /** Maps an outcome of the core to one of the port. */
-export function convertWrite(
+export function convertWriteOutcome(
   outcome: objectApi.ApiWriteOutcome,
 ): objectStore.WriteOutcome {
   if (outcome.kind !== "too_large") return outcome;
--- a/packages/anvilhinge/src/stand_ins/model_engine_http.ts
+++ b/packages/anvilhinge/src/stand_ins/model_engine_http.ts
@@ -39,14 +39,14 @@
     case "GET /load":
       return httpServer.encodeJson(200, engine.readLoad(rank));
     case "GET /steps":
-      return httpServer.encodeJson(200, engine.readStep());
+      return httpServer.encodeJson(200, engine.readLastStep());
     case "GET /events": {
       const since = Number(request.query.get("since") ?? 0);
       const events = engine.listCacheEvents(rank, since);
       return httpServer.encodeJson(200, { events });
     }
     case "GET /orders":
-      return httpServer.encodeJson(200, engine.readOrders(rank));
+      return httpServer.encodeJson(200, engine.readOrderState(rank));
     case "POST /orders":
       return applyOrder(request, { engine, rank });
     default:
@@ -70,7 +70,7 @@
   if (parsed.kind === "invalid") {
     return httpServer.encodeError(400, parsed.message);
   }
-  const outcome = engine.order(rank, parsed.order);
+  const outcome = engine.applyOrder(rank, parsed.order);
   switch (outcome.kind) {
     case "done":
       return httpServer.encodeJson(200, outcome);
@@ -161,7 +161,7 @@
     case "token":
       return sink.write(chatFormat.renderToken(body, event.text));
     case "end":
-      sink.write(chatFormat.renderFinish(body) + chatFormat.doneLine);
+      sink.write(chatFormat.renderFinish(body) + chatFormat.doneEvent);
       return sink.end();
     case "failed":
       return sink.abort();
--- a/packages/anvilhinge/src/stand_ins/model_engine_options.ts
+++ b/packages/anvilhinge/src/stand_ins/model_engine_options.ts
@@ -34,7 +34,7 @@
    * Prompt tokens outside the cache that one step takes in.
    * @default 256
    */
-  readonly prefillTokens?: number;
+  readonly prefillTokensPerStep?: number;
   /**
    * Blocks of 16 tokens in the prefix cache of a rank.
    * @default 1024
@@ -54,7 +54,7 @@
    * Share of cache events that are lost.
    * @default 0.05
    */
-  readonly eventGapShare?: number;
+  readonly eventLossRatio?: number;
   /**
    * Refuses orders with an old fencing number.
    * @default true
@@ -69,11 +69,11 @@
   stepMs: 20,
   tokenMs: 0.1,
   batchLimit: 16,
-  prefillTokens: 256,
+  prefillTokensPerStep: 256,
   cacheBlocks: 1_024,
   reportLagMs: 100,
   eventLagMs: 200,
-  eventGapShare: 0.05,
+  eventLossRatio: 0.05,
   checksFencing: true,
 } as const;
 
--- a/packages/anvilhinge/src/stand_ins/weight_store.ts
+++ b/packages/anvilhinge/src/stand_ins/weight_store.ts
@@ -13,7 +13,7 @@
 
 export interface WeightStore {
   /** Returns the instant in milliseconds when the bytes have arrived. */
-  request(bytes: number): number;
+  scheduleDownload(bytes: number): number;
 }
 
 /** Creates a store with a full bucket; downloads are served in turn. */
@@ -23,7 +23,7 @@
   let availableBytes = burstBytes;
   let updatedMs = options.clock.now();
   return {
-    request(bytes) {
+    scheduleDownload(bytes) {
       const nowMs = options.clock.now();
       const refilled = availableBytes + (nowMs - updatedMs) * bytesPerMs;
       updatedMs = nowMs;
--- a/packages/anvilhinge/src/stand_ins/weight_store_http.ts
+++ b/packages/anvilhinge/src/stand_ins/weight_store_http.ts
@@ -33,7 +33,7 @@
     const message = "Query parameter bytes must be a whole number from 0 on";
     return httpServer.encodeError(400, message);
   }
-  const delayMs = store.request(bytes) - timers.now();
+  const delayMs = store.scheduleDownload(bytes) - timers.now();
   await new Promise<void>((resolve) => timers.schedule(resolve, { delayMs }));
   return httpServer.encodeJson(200, { bytes });
 }
--- a/scripts/bench.ts
+++ b/scripts/bench.ts
@@ -145,7 +145,7 @@
     const agentEnd = await sumUsage(agents);
     let tokens = 0;
     for (let index = 0; index < requestCount; index += 1) {
-      tokens += answer.describeAnswer(buildChat(index)).length;
+      tokens += answer.generateTokens(buildChat(index)).length;
     }
     const entryUs = (entryEnd.cpuMs - entryStart.cpuMs) * 1_000;
     const agentUs = (agentEnd.cpuMs - agentStart.cpuMs) * 1_000;
--- a/scripts/build.ts
+++ b/scripts/build.ts
@@ -13,7 +13,7 @@
 const dist = nodePath.join(root, "dist");
 const bundleFile = nodePath.join(dist, "anvilhinge.cjs");
 const blobFile = nodePath.join(dist, "anvilhinge.blob");
-const assetFile = nodePath.join(dist, defaultSettings.settingsAsset);
+const assetFile = nodePath.join(dist, defaultSettings.settingsAssetName);
 const configFile = nodePath.join(dist, "sea.json");
 /** Marks the place of the blob in the runtime; defined by Node.js. */
 const sentinelFuse = "NODE_SEA_FUSE_fce680ab2cc467b6e072b8b5df1996b2";
@@ -55,7 +55,7 @@
       main: bundleFile,
       output: blobFile,
       disableExperimentalSEAWarning: true,
-      assets: { [defaultSettings.settingsAsset]: assetFile },
+      assets: { [defaultSettings.settingsAssetName]: assetFile },
     }),
   );
   runTool(process.execPath, ["--experimental-sea-config", configFile]);
--- a/scripts/demo.ts
+++ b/scripts/demo.ts
@@ -66,7 +66,7 @@
 function describeSkew(running: system.RunningSystem): string {
   return running.groups.flatMap(({ name, engine }) => {
     if (engine === undefined) return [];
-    const { rankUs } = engine.readStep();
+    const { rankUs } = engine.readLastStep();
     const mean = rankUs.reduce((sum, us) => sum + us, 0) / rankUs.length;
     const skew = mean === 0 ? 1 : Math.max(...rankUs) / mean;
     return [`${name} ${skew.toFixed(2)}`];
@@ -81,7 +81,7 @@
     ["Ended with an error that says so", report.failed],
     ["Wrong answers", report.wrong],
     ["Filings accepted", report.filings],
-    ["Filings doubled or lost", report.misfiled],
+    ["Filings doubled or lost", report.filingErrors],
     ["First token", describeTimes(report.firstToken)],
     ["Between tokens", describeTimes(report.betweenTokens)],
     ["Step-time skew (slowest over mean)", skew],
@@ -126,7 +126,7 @@
   await running.stop();
   abort.abort();
   printReport(report, skew);
-  return report.wrong === 0 && report.misfiled === 0 &&
+  return report.wrong === 0 && report.filingErrors === 0 &&
     report.whole + report.notRun + report.failed === report.requests &&
     report.failed === 0;
 }
