--- a/packages/anvilhinge/src/stand_ins/answer.ts
+++ b/packages/anvilhinge/src/stand_ins/answer.ts
@@ -1,10 +1,10 @@
-/** What the model engine stand-in answers: a pure function of the request. */
+/** Answers of the model engine stand-in: a pure function of the request. */
 import * as crypto from "node:crypto";
 import * as random from "@anvilhinge/coordination/random";
 import * as zod from "zod";
 
-const minimumTokens = 8;
-const maximumTokens = 64;
+const minAnswerTokens = 8;
+const maxAnswerTokens = 64;
 
 const vocabulary = [
   "valve",
@@ -35,21 +35,21 @@
   max_tokens: zod.int().positive().optional(),
 });
 
-/** The parts of a chat completion request that the stand-in reads. */
+/** Fields of a chat completion request that the stand-in reads. */
 export type ChatBody = Readonly<zod.infer<typeof bodySchema>>;
 
 export type ParseOutcome =
   | { readonly kind: "parsed"; readonly body: ChatBody }
   | { readonly kind: "invalid"; readonly message: string };
 
-/** Checks the JSON value of a request body. */
+/** Validates the JSON value of a request body. */
 export function parseBody(value: unknown): ParseOutcome {
   const result = bodySchema.safeParse(value);
   if (result.success) return { kind: "parsed", body: result.data };
   return { kind: "invalid", message: zod.prettifyError(result.error) };
 }
 
-/** Returns a seed that depends on the model and the messages only. */
+/** Returns a seed that depends only on the model and the messages. */
 export function computeSeed(body: ChatBody): number {
   const messages = body.messages.map(({ role, content }) => [role, content]);
   const text = JSON.stringify([body.model, messages]);
@@ -57,21 +57,21 @@
 }
 
 /**
- * Returns the tokens of the whole answer: 8 to 64 tokens that depend on the
- * model and the messages, cut to `max_tokens` when that is given.
+ * Returns the tokens of the complete answer: 8 to 64 tokens that depend only
+ * on the model and the messages, truncated to `max_tokens` when it is set.
  */
 export function generateTokens(body: ChatBody): string[] {
-  const draw = random.createRandomSource(computeSeed(body));
-  const range = maximumTokens - minimumTokens + 1;
-  const drawnTokens = minimumTokens + Math.floor(draw() * range);
-  const count = Math.min(drawnTokens, body.max_tokens ?? drawnTokens);
+  const drawRandom = random.createRandomSource(computeSeed(body));
+  const lengthRange = maxAnswerTokens - minAnswerTokens + 1;
+  const drawnLength = minAnswerTokens + Math.floor(drawRandom() * lengthRange);
+  const count = Math.min(drawnLength, body.max_tokens ?? drawnLength);
   return Array.from({ length: count }, (_value, index) => {
-    const word = vocabulary[Math.floor(draw() * vocabulary.length)];
+    const word = vocabulary[Math.floor(drawRandom() * vocabulary.length)];
     return index === 0 ? `${word}` : ` ${word}`;
   });
 }
 
-/** Splits the messages into prompt tokens. */
+/** Splits each message into prompt tokens: its role, then its words. */
 export function extractPromptTokens(body: ChatBody): string[] {
   return body.messages.flatMap(({ role, content }) => [
     `<${role}>`,
--- a/packages/anvilhinge/src/stand_ins/engine_orders.ts
+++ b/packages/anvilhinge/src/stand_ins/engine_orders.ts
@@ -1,4 +1,4 @@
-/** Orders that one rank of the model engine accepts, with fencing numbers. */
+/** Orders to one rank of the model engine, protected by fencing numbers. */
 import * as zod from "zod";
 
 const fencingNumber = zod.int().min(0);
@@ -8,7 +8,7 @@
     kind: zod.literal("install_map"),
     fencingNumber,
     version: zod.int().min(0),
-    /** Ranks by expert number. */
+    /** Ranks that hold each expert, indexed by expert number. */
     holders: zod.array(zod.array(zod.int().min(0)).min(1)).min(1),
   }),
   zod.object({
@@ -33,18 +33,18 @@
 
 export type OrderOutcome =
   | { readonly kind: "done" }
-  /** The rank has seen a higher fencing number. */
+  /** The rank has already seen a higher fencing number. */
   | { readonly kind: "fenced"; readonly highestFencingNumber: number }
-  /** The order does not fit the group. */
+  /** The order does not match the group's number of experts or ranks. */
   | { readonly kind: "invalid"; readonly message: string }
   | { readonly kind: "crashed" };
 
-/** What a rank has in force. */
+/** State of a rank as set by the orders that it applied. */
 export interface OrderState {
-  /** Highest fencing number seen; 0 after a restart. */
+  /** Highest fencing number seen; reset to 0 by a restart. */
   readonly highestFencingNumber: number;
   readonly role: string;
-  /** Version by model name. */
+  /** Loaded version by model name. */
   readonly models: Readonly<Record<string, string>>;
   readonly map: MapOrder | undefined;
 }
@@ -61,7 +61,7 @@
   readonly state: OrderState;
 }
 
-/** Checks the JSON value of an order. */
+/** Validates the JSON value of an order. */
 export function parseOrder(value: unknown): ParseOutcome {
   const result = orderSchema.safeParse(value);
   if (result.success) return { kind: "parsed", order: result.data };
@@ -73,7 +73,7 @@
   readonly rankCount: number;
 }
 
-/** Returns why a map does not fit a group, if so. */
+/** Returns why a map does not match a group; undefined when it matches. */
 export function checkMap(
   { holders }: MapOrder,
   { expertCount, rankCount }: GroupSize,
@@ -87,7 +87,10 @@
   return `Map names rank ${unknownRank}; the group has ${rankCount} ranks`;
 }
 
-/** Applies an order; with `checksFencing` an old fencing number is refused. */
+/**
+ * Applies an order. With `checksFencing`, an order with a fencing number below
+ * the highest one seen is refused.
+ */
 export function applyOrder(
   state: OrderState,
   order: Order,
@@ -97,9 +100,9 @@
   if (checksFencing && order.fencingNumber < highestFencingNumber) {
     return { outcome: { kind: "fenced", highestFencingNumber }, state };
   }
-  const highest = Math.max(highestFencingNumber, order.fencingNumber);
-  const fenced = { ...state, highestFencingNumber: highest };
-  return { outcome: { kind: "done" }, state: applyChange(fenced, order) };
+  const newHighest = Math.max(highestFencingNumber, order.fencingNumber);
+  const raisedState = { ...state, highestFencingNumber: newHighest };
+  return { outcome: { kind: "done" }, state: applyChange(raisedState, order) };
 }
 
 function applyChange(state: OrderState, order: Order): OrderState {
--- a/packages/anvilhinge/src/stand_ins/engine_rank.ts
+++ b/packages/anvilhinge/src/stand_ins/engine_rank.ts
@@ -7,7 +7,7 @@
 export type RankEvent =
   | { readonly kind: "token"; readonly text: string }
   | { readonly kind: "end" }
-  /** `started` is false when the request never left the queue. */
+  /** `started` is false when the request never entered the batch. */
   | {
     readonly kind: "failed";
     readonly message: string;
@@ -18,9 +18,9 @@
   readonly body: answer.ChatBody;
   /** 0 is the most urgent. */
   readonly priority: number;
-  /** Time left in milliseconds. */
+  /** Time left until the request fails, in milliseconds. */
   readonly deadlineMs: number;
-  /** Cancels the work; no event follows. */
+  /** Cancels the request; no event follows. */
   readonly signal: AbortSignal;
   readonly onEvent: (event: RankEvent) => void;
 }
@@ -38,14 +38,14 @@
 }
 
 export interface Rank {
-  /** Calls `onGone` when the request leaves other than by its last token. */
-  enqueue(request: RankRequest, onGone: () => void): void;
+  /** Calls `onRemoved` when a cancel or the deadline removes the request. */
+  enqueue(request: RankRequest, onRemoved: () => void): void;
   /**
-   * Fills the batch from the queue; returns the random source of each request
-   * that takes part in the step.
+   * Starts a step, which is one forward pass of the whole group: fills the
+   * batch from the queue and returns the random source of each request in it.
    */
   startStep(): readonly random.RandomSource[];
-  /** Delivers one token for each request that took part in the step. */
+  /** Advances each request in the batch by one step of prefill or one token. */
   finishStep(): void;
   /** Fails all requests and empties the cache. */
   fail(message: string): void;
@@ -58,21 +58,21 @@
   readonly request: RankRequest;
   readonly tokens: readonly string[];
   readonly prompt: readonly string[];
-  readonly draw: random.RandomSource;
-  /** Ends the deadline timer and the cancel listener. */
-  readonly settled: AbortController;
-  prefillSteps: number;
-  position: number;
+  readonly randomSource: random.RandomSource;
+  /** Aborted on removal; ends the deadline timer and the cancel listener. */
+  readonly ended: AbortController;
+  remainingPrefillSteps: number;
+  nextTokenIndex: number;
 }
 
-/** Creates a rank without work. */
+/** Creates a rank without requests. */
 export function createRank(options: RankOptions): Rank {
   const cache = prefixCache.createPrefixCache(options.cache);
   let queue: Job[] = [];
   let running: Job[] = [];
 
   function remove(job: Job): void {
-    job.settled.abort();
+    job.ended.abort();
     queue = queue.filter((other) => other !== job);
     running = running.filter((other) => other !== job);
   }
@@ -84,56 +84,58 @@
   }
 
   function fillBatch(): void {
-    const free = options.batchLimit - running.length;
-    for (const job of queue.slice(0, free)) admit(job);
-    queue = queue.slice(free);
+    const freeSlots = options.batchLimit - running.length;
+    for (const job of queue.slice(0, freeSlots)) admit(job);
+    queue = queue.slice(freeSlots);
   }
 
   function admit(job: Job): void {
     const uncached = job.prompt.length - cache.countCachedTokens(job.prompt);
-    job.prefillSteps = Math.ceil(uncached / options.prefillTokensPerStep);
+    job.remainingPrefillSteps = Math.ceil(
+      uncached / options.prefillTokensPerStep,
+    );
     cache.store(job.prompt);
     running.push(job);
   }
 
-  /** The first token comes with the last step of the prefill. */
+  /** The last step of the prefill yields the first token. */
   function advanceJob(job: Job): void {
-    job.prefillSteps -= 1;
-    if (job.prefillSteps > 0) return;
-    const text = job.tokens[job.position];
-    job.position += 1;
-    const isLast = job.position >= job.tokens.length;
+    job.remainingPrefillSteps -= 1;
+    if (job.remainingPrefillSteps > 0) return;
+    const text = job.tokens[job.nextTokenIndex];
+    job.nextTokenIndex += 1;
+    const isLast = job.nextTokenIndex >= job.tokens.length;
     if (isLast) remove(job);
     if (text !== undefined) job.request.onEvent({ kind: "token", text });
     if (isLast) job.request.onEvent({ kind: "end" });
   }
 
   return {
-    enqueue(request, onGone) {
+    enqueue(request, onRemoved) {
       if (request.signal.aborted) return;
       const job = createJob(request);
       const { priority } = request;
-      const next = queue.findIndex((other) =>
+      const insertIndex = queue.findIndex((other) =>
         other.request.priority > priority
       );
-      queue.splice(next < 0 ? queue.length : next, 0, job);
-      const signal = job.settled.signal;
+      queue.splice(insertIndex < 0 ? queue.length : insertIndex, 0, job);
+      const signal = job.ended.signal;
       request.signal.addEventListener("abort", () => {
         remove(job);
-        onGone();
+        onRemoved();
       }, { once: true, signal });
       options.scheduler.schedule(() => {
         failJob(job, "The deadline passed before the answer was complete");
-        onGone();
+        onRemoved();
       }, { delayMs: request.deadlineMs, signal });
     },
     startStep() {
       fillBatch();
-      return running.map(({ draw }) => draw);
+      return running.map(({ randomSource }) => randomSource);
     },
     finishStep() {
       for (const job of running) {
-        if (!job.settled.signal.aborted) advanceJob(job);
+        if (!job.ended.signal.aborted) advanceJob(job);
       }
     },
     fail(message) {
@@ -151,9 +153,9 @@
     request,
     tokens: answer.generateTokens(request.body),
     prompt: answer.extractPromptTokens(request.body),
-    draw: random.createRandomSource(answer.computeSeed(request.body)),
-    settled: new AbortController(),
-    prefillSteps: 0,
-    position: 0,
+    randomSource: random.createRandomSource(answer.computeSeed(request.body)),
+    ended: new AbortController(),
+    remainingPrefillSteps: 0,
+    nextTokenIndex: 0,
   };
 }
--- a/packages/anvilhinge/src/stand_ins/expert_step.ts
+++ b/packages/anvilhinge/src/stand_ins/expert_step.ts
@@ -1,22 +1,25 @@
-/** Duration of a lock-step: the time of the slowest rank under an expert map. */
+/**
+ * Duration of a step. All ranks of a group run each forward pass in lock-step,
+ * so it lasts as long as the slowest rank needs under the expert map.
+ */
 import type * as random from "@anvilhinge/coordination/random";
 
-/** Which ranks hold each expert; a token of an expert is split evenly. */
+/** Assignment of experts to ranks; live holders share the tokens evenly. */
 export interface ExpertMap {
   readonly version: number;
-  /** Ranks by expert number. */
+  /** Ranks that hold each expert, indexed by expert number. */
   readonly holders: readonly (readonly number[])[];
 }
 
 export interface StepCosts {
-  /** Time of a step without tokens, in milliseconds. */
+  /** Duration of a step without tokens, in milliseconds. */
   readonly baseMs: number;
-  /** Time of one token at one expert, in milliseconds. */
+  /** Added duration for one token at one expert, in milliseconds. */
   readonly tokenMs: number;
 }
 
 export interface RankState {
-  /** 1 is the normal speed. */
+  /** Speed relative to a normal rank; 1 is normal. */
   readonly speed: number;
   readonly crashed: boolean;
 }
@@ -28,7 +31,7 @@
   readonly costs: StepCosts;
 }
 
-/** Creates a map that deals the experts out to the ranks in turn. */
+/** Creates a map that assigns the experts to the ranks in round-robin order. */
 export function createEvenMap(
   expertCount: number,
   rankCount: number,
@@ -40,7 +43,7 @@
   return { version: 0, holders };
 }
 
-/** Returns each rank's step time in milliseconds; 0 for a crashed rank. */
+/** Returns the step time of each rank in milliseconds; 0 for a crashed rank. */
 export function computeRankTimes(load: StepLoad): number[] {
   const tokens = load.ranks.map(() => 0);
   load.map.holders.forEach((holders, expert) => {
@@ -55,7 +58,7 @@
   );
 }
 
-/** Tells whether some expert has no live rank, so that no step can complete. */
+/** Returns whether an expert has no live rank, so that no step can complete. */
 export function hasLostExpert(load: Pick<StepLoad, "map" | "ranks">): boolean {
   return load.map.holders
     .some((holders) => filterLive(load, holders).length === 0);
@@ -71,17 +74,17 @@
 export interface RoutingOptions {
   readonly expertCount: number;
   readonly expertsPerToken: number;
-  /** 1 is even; the larger, the more tokens go to the low-numbered experts. */
+  /** 1 is uniform; a larger skew sends more tokens to low-numbered experts. */
   readonly skew: number;
 }
 
-/** Draws the experts of one token. */
+/** Chooses the experts of one token at random, with replacement. */
 export function chooseExperts(
-  draw: random.RandomSource,
+  drawRandom: random.RandomSource,
   { expertCount, expertsPerToken, skew }: RoutingOptions,
 ): number[] {
   return Array.from(
     { length: expertsPerToken },
-    () => Math.floor(expertCount * draw() ** skew),
+    () => Math.floor(expertCount * drawRandom() ** skew),
   );
 }
--- a/packages/anvilhinge/src/stand_ins/faults.ts
+++ b/packages/anvilhinge/src/stand_ins/faults.ts
@@ -1,46 +1,46 @@
-/** Faults that a test can switch on in a stand-in. */
+/** Faults that a test can inject into a stand-in. */
 import * as zod from "zod";
 
 const faultSchema = zod.discriminatedUnion("kind", [
   zod.object({ kind: zod.literal("none") }),
-  /** Each call is refused before any effect. */
+  /** Each call is refused before it takes effect. */
   zod.object({ kind: zod.literal("down") }),
-  /** Each call takes effect and is answered after a delay. */
+  /** Each call is executed and answered after a delay. */
   zod.object({ kind: zod.literal("slow"), delayMs: zod.number().min(0) }),
-  /** The call takes effect; its answer does not arrive. */
+  /** Each call is executed; its answer does not arrive. */
   zod.object({ kind: zod.literal("answer_lost") }),
-  /** The caller sees a failure now; the effect happens after a delay. */
+  /** Each call fails for the caller at once and is executed after a delay. */
   zod.object({ kind: zod.literal("late"), delayMs: zod.number().min(0) }),
-  /** The call is executed twice; the first answer is delivered. */
+  /** Each call is executed twice; the first answer is delivered. */
   zod.object({ kind: zod.literal("duplicated") }),
   /** Calls are neither executed nor answered. */
   zod.object({ kind: zod.literal("stall") }),
-  /** Connections break and calls fail without any effect. */
+  /** Connections break; calls fail and are not executed. */
   zod.object({ kind: zod.literal("crash") }),
 ]);
 
-const orderSchema = zod.object({
+const requestSchema = zod.object({
   fault: faultSchema,
   callCount: zod.int().positive().optional(),
 });
 
-/** One way in which a stand-in misbehaves. */
+/** A failure mode of a stand-in. */
 export type Fault = Readonly<zod.infer<typeof faultSchema>>;
 
 export interface FaultOptions {
   /**
-   * Number of calls that the fault lasts for.
+   * Number of calls after which the fault ends.
    * @default Infinity
    */
   readonly callCount?: number;
 }
 
-/** The fault in force in one stand-in. */
+/** Holds the active fault of one stand-in. */
 export interface FaultSwitch {
   set(fault: Fault, options?: FaultOptions): void;
-  /** Returns the fault in force. */
+  /** Returns the active fault. */
   get(): Fault;
-  /** Returns the fault for one call and counts the call. */
+  /** Returns the fault that applies to one call, and counts the call. */
   take(): Fault;
   /** Calls `listener` after each change until `signal` is aborted. */
   subscribe(listener: (fault: Fault) => void, signal?: AbortSignal): void;
@@ -56,7 +56,7 @@
 
 const noFault: Fault = { kind: "none" };
 
-/** Creates a switch without a fault. */
+/** Creates a switch with no active fault. */
 export function createFaultSwitch(): FaultSwitch {
   const listeners = new Set<(fault: Fault) => void>();
   let current: Fault = noFault;
@@ -73,10 +73,10 @@
       setCurrent(fault, options.callCount ?? Infinity),
     get: () => current,
     take() {
-      const taken = current;
+      const callFault = current;
       remainingCalls -= 1;
       if (remainingCalls <= 0) setCurrent(noFault, Infinity);
-      return taken;
+      return callFault;
     },
     subscribe(listener, signal) {
       if (signal?.aborted) return;
@@ -87,9 +87,9 @@
   };
 }
 
-/** Checks a fault that arrived as JSON: `{"fault": {...}, "callCount": n}`. */
+/** Validates a fault sent as JSON: `{"fault": {...}, "callCount": n}`. */
 export function parseFault(value: unknown): ParseOutcome {
-  const result = orderSchema.safeParse(value);
+  const result = requestSchema.safeParse(value);
   if (result.success) return { kind: "parsed", ...result.data };
   return { kind: "invalid", message: zod.prettifyError(result.error) };
 }
--- a/packages/anvilhinge/src/stand_ins/http_server.ts
+++ b/packages/anvilhinge/src/stand_ins/http_server.ts
@@ -1,4 +1,4 @@
-/** What the HTTP adapters of all stand-ins share: bodies, faults, streams. */
+/** Base of all HTTP stand-ins: reads bodies, applies faults, sends answers. */
 import * as http from "node:http";
 import type * as net from "node:net";
 import type * as scheduler from "../ports/scheduler.ts";
@@ -6,7 +6,10 @@
 
 const bodyLimitBytes = 4 * 1024 * 1024;
 
-/** Paths that are polled; they suffer a fault but do not use up its calls. */
+/**
+ * Paths that clients poll. An active fault applies to them, but they don't
+ * count as calls, so that polling does not use up the fault's call count.
+ */
 const polledPaths: ReadonlySet<string> = new Set(["/load", "/ledger"]);
 
 export interface HttpRequest {
@@ -16,15 +19,15 @@
   readonly query: URLSearchParams;
   readonly headers: http.IncomingHttpHeaders;
   readonly body: Uint8Array;
-  /** Aborted when the caller goes away before the end of the answer. */
+  /** Aborted when the caller disconnects before the end of the answer. */
   readonly signal: AbortSignal;
 }
 
-/** Takes the body of an answer piece by piece. */
+/** Receives the body of a streamed answer in parts. */
 export interface Sink {
   write(text: string): void;
   end(): void;
-  /** Breaks the connection. */
+  /** Destroys the connection. */
   abort(): void;
 }
 
@@ -54,7 +57,7 @@
   readonly host: string;
   /** 0 picks a free port. */
   readonly port: number;
-  /** Closes the server and its connections. */
+  /** Closes the server and its connections when aborted. */
   readonly signal: AbortSignal;
 }
 
@@ -74,7 +77,7 @@
   readonly response: http.ServerResponse;
 }
 
-/** Creates a server that applies faults and serves `PUT /faults`. */
+/** Creates a server that applies the active fault and serves `PUT /faults`. */
 export function createServer(options: ServerOptions): StandInServer {
   const server = http.createServer((incoming, response) => {
     serve({ ...options, incoming, response }).catch((error: unknown) => {
@@ -87,7 +90,7 @@
   };
 }
 
-/** Makes an answer of a JSON value. */
+/** Creates an answer with a JSON body. */
 export function encodeJson(status: number, value: unknown): HttpAnswer {
   return {
     kind: "whole",
@@ -97,7 +100,7 @@
   };
 }
 
-/** Makes an answer that tells what went wrong. */
+/** Creates an answer with an error message. */
 export function encodeError(status: number, message: string): HttpAnswer {
   return encodeJson(status, { error: { message } });
 }
@@ -117,7 +120,7 @@
   }
 }
 
-/** Decodes the rest of a path; returns nothing when its encoding is broken. */
+/** Decodes part of a path; returns undefined when its encoding is invalid. */
 export function decodePath(text: string): string | undefined {
   try {
     return decodeURIComponent(text);
@@ -160,9 +163,9 @@
     const message = `Body is larger than ${bodyLimitBytes} bytes; send less`;
     return sendAnswer(response, encodeError(413, message));
   }
-  const gone = new AbortController();
+  const disconnected = new AbortController();
   response.once("close", () => {
-    if (!response.writableFinished) gone.abort();
+    if (!response.writableFinished) disconnected.abort();
   });
   const [path = "/", query = ""] = (incoming.url ?? "/").split("?", 2);
   const request: HttpRequest = {
@@ -171,14 +174,14 @@
     query: new URLSearchParams(query),
     headers: incoming.headers,
     body,
-    signal: gone.signal,
+    signal: disconnected.signal,
   };
   const exchange = { ...options, request };
   if (path === "/faults" && request.method === "PUT") setFault(exchange);
   else await serveWithFault(exchange);
 }
 
-/** Returns nothing when the body is too large. */
+/** Returns undefined when the body is too large. */
 async function readBody(
   incoming: http.IncomingMessage,
 ): Promise<Uint8Array | undefined> {
@@ -232,7 +235,7 @@
   }
 }
 
-/** Executes a request whose answer nobody receives. */
+/** Executes a request and discards its answer. */
 async function execute({ handler, request }: Exchange): Promise<void> {
   const signal = new AbortController().signal;
   const answer = await handler({ ...request, signal });
--- a/packages/anvilhinge/src/stand_ins/instance_list.ts
+++ b/packages/anvilhinge/src/stand_ins/instance_list.ts
@@ -1,4 +1,4 @@
-/** Core of the instance list stand-in: it shows the instances as they were. */
+/** Core of the instance list stand-in: readers see past states of the list. */
 import type * as clock from "@anvilhinge/coordination/clock";
 import type * as ports from "../ports/instance_list.ts";
 import type * as faults from "./faults.ts";
@@ -6,13 +6,13 @@
 
 export interface InstanceRegistryOptions {
   readonly clock: clock.Clock;
-  /** Age of what the list shows, in milliseconds. */
+  /** Age of the listed state, in milliseconds. */
   readonly lagMs: number;
 }
 
 /** Instances in the order of their registration. */
 export interface InstanceRegistry {
-  /** Adds an instance or replaces the one with the same identifier. */
+  /** Adds an instance or replaces the instance with that identifier. */
   register(instance: ports.Instance): void;
   /** Marks an instance as leaving. */
   markLeaving(id: string): void;
@@ -20,7 +20,7 @@
   list(): readonly ports.Instance[];
 }
 
-/** Creates an empty list. */
+/** Creates an empty registry. */
 export function createInstanceRegistry(
   options: InstanceRegistryOptions,
 ): InstanceRegistry {
@@ -55,7 +55,10 @@
   };
 }
 
-/** Creates the port on a registry of the same process; any fault is a failure. */
+/**
+ * Creates the port on a registry in the same process. Under any fault except
+ * `duplicated`, the list is unavailable.
+ */
 export function createLocalInstanceList(
   registry: InstanceRegistry,
   options: { readonly faults: faults.FaultSwitch },
--- a/packages/anvilhinge/src/stand_ins/lagged_value.ts
+++ b/packages/anvilhinge/src/stand_ins/lagged_value.ts
@@ -1,4 +1,4 @@
-/** A value that readers see as it was some time ago. */
+/** A value that readers see with a constant lag. */
 import type * as clock from "@anvilhinge/coordination/clock";
 
 export interface LaggedValueOptions<Value> {
@@ -9,22 +9,24 @@
 
 export interface LaggedValue<Value> {
   set(value: Value): void;
-  /** Returns the value that was in force `lagMs` ago. */
+  /** Returns the value as of `lagMs` ago. */
   get(): Value;
-  /** Returns the value in force. */
+  /** Returns the latest value, without the lag. */
   getCurrent(): Value;
 }
 
-/** Creates a value that has been `initial` at all times before now. */
+/** Creates a value that is `initial` at all times before the first `set`. */
 export function createLaggedValue<Value>(
   options: LaggedValueOptions<Value>,
 ): LaggedValue<Value> {
   let history = [{ atMs: -Infinity, value: options.initial }];
 
   function prune(): void {
-    const limitMs = options.clock.now() - options.lagMs;
-    const visible = history.findLastIndex((entry) => entry.atMs <= limitMs);
-    if (visible > 0) history = history.slice(visible);
+    const visibleUntilMs = options.clock.now() - options.lagMs;
+    const visibleIndex = history.findLastIndex((entry) =>
+      entry.atMs <= visibleUntilMs
+    );
+    if (visibleIndex > 0) history = history.slice(visibleIndex);
   }
 
   return {
--- a/packages/anvilhinge/src/stand_ins/local_object_store.ts
+++ b/packages/anvilhinge/src/stand_ins/local_object_store.ts
@@ -1,4 +1,4 @@
-/** The object store port on the core in the same process, with faults. */
+/** Object store client on the core in the same process, with faults. */
 import type * as objectStore from "../ports/object_store.ts";
 import * as delay from "../adapters/delay.ts";
 import type * as scheduler from "../ports/scheduler.ts";
@@ -11,7 +11,7 @@
   readonly faults: faults.FaultSwitch;
   readonly scheduler: scheduler.Scheduler;
   /**
-   * Time after which a stalled call is given up.
+   * Time after which a stalled call fails.
    * @default 1000
    */
   readonly timeoutMs?: number;
@@ -19,7 +19,7 @@
 
 interface Call<Outcome> {
   readonly execute: () => Outcome;
-  /** Outcome when the store refuses before any effect. */
+  /** Outcome when the store refuses the call before it takes effect. */
   readonly refused: Outcome;
   /** Outcome when no answer arrives. */
   readonly unanswered: Outcome;
@@ -30,12 +30,12 @@
   message: "The object API is unavailable; try again later",
 };
 
-const unknown: objectStore.WriteOutcome = {
+const unansweredWrite: objectStore.WriteOutcome = {
   kind: "unknown",
   message: "The object API did not answer the write; read the key again",
 };
 
-/** Creates a client of `api` that opens no socket. */
+/** Creates a client of `api` that opens no sockets. */
 export function createLocalObjectStore(
   api: objectApi.ObjectApi,
   options: LocalObjectStoreOptions,
@@ -77,7 +77,7 @@
     return run<objectStore.WriteOutcome>({
       execute: () => convertWriteOutcome(execute()),
       refused: unavailable,
-      unanswered: unknown,
+      unanswered: unansweredWrite,
     });
   }
 
@@ -102,7 +102,7 @@
   };
 }
 
-/** Maps an outcome of the core to one of the port. */
+/** Converts an outcome of the core to an outcome of the port. */
 export function convertWriteOutcome(
   outcome: objectApi.ApiWriteOutcome,
 ): objectStore.WriteOutcome {
@@ -116,20 +116,21 @@
 }
 
 /**
- * Delivers events from a queue, one timer each, so that no event arrives while
- * its writer is still running, and none overtakes another when delays change.
+ * Delivers events from a queue with one timer for each, so that no event
+ * arrives while its writer is still running, and no event overtakes an earlier
+ * one when the delay changes.
  */
 function startWatch(api: objectApi.ObjectApi, start: WatchStart): void {
   const { sinceVersion, signal, onEvent } = start.watchOptions;
-  const ended = new AbortController();
-  const endSignal = AbortSignal.any([signal, ended.signal]);
+  const closed = new AbortController();
+  const endSignal = AbortSignal.any([signal, closed.signal]);
   const queue: objectStore.WatchEvent[] = [];
 
   function deliverNext(): void {
     if (endSignal.aborted || start.faults.get().kind === "stall") return;
     const event = queue.shift();
     if (event === undefined) return;
-    if (event.kind === "closed") ended.abort();
+    if (event.kind === "closed") closed.abort();
     onEvent(event);
   }
 
@@ -145,7 +146,8 @@
   }
 
   function handleFault(fault: faults.Fault): void {
-    if (isBroken(fault)) return enqueueClosed();
+    if (isUnavailable(fault)) return enqueueClosed();
+    // The timers that fired during a stall delivered nothing.
     for (const _event of queue) scheduleDelivery();
   }
 
@@ -153,7 +155,7 @@
     enqueue({ kind: "closed", message: unavailable.message });
   }
 
-  if (isBroken(start.faults.take())) return enqueueClosed();
+  if (isUnavailable(start.faults.take())) return enqueueClosed();
   start.faults.subscribe(handleFault, endSignal);
   api.watch(start.prefix, {
     sinceVersion,
@@ -162,6 +164,6 @@
   });
 }
 
-function isBroken(fault: faults.Fault): boolean {
+function isUnavailable(fault: faults.Fault): boolean {
   return fault.kind === "down" || fault.kind === "crash";
 }
--- a/packages/anvilhinge/src/stand_ins/model_engine.ts
+++ b/packages/anvilhinge/src/stand_ins/model_engine.ts
@@ -1,7 +1,8 @@
 /**
  * Core of the model engine stand-in: a group of ranks that advance in
- * lock-step. Each rank batches continuously; each step yields one token for
- * each running request and lasts as long as the slowest rank needs.
+ * lock-step. Each rank batches continuously. A step is one forward pass: it
+ * yields one token for each running request whose prefill is complete and lasts
+ * as long as the slowest rank needs.
  */
 import type * as ports from "../ports/engine.ts";
 import * as engineOrders from "./engine_orders.ts";
@@ -11,16 +12,17 @@
 import * as modelEngineOptions from "./model_engine_options.ts";
 import type * as prefixCache from "./prefix_cache.ts";
 
-const pausedRetryMs = 10;
+/** Interval at which a paused group checks for a live rank of each expert. */
+const lostExpertRetryMs = 10;
 
 /** Measurements of the group's last step. */
 export interface StepReport {
   readonly stepCount: number;
   readonly durationUs: number;
   readonly mapVersion: number;
-  /** Step time by rank, before the wait for the slowest. */
+  /** Step time by rank, without the wait for the slowest rank. */
   readonly rankUs: readonly number[];
-  /** Tokens since the start by expert. */
+  /** Tokens routed to each expert since the start. */
   readonly tokensByExpert: readonly number[];
 }
 
@@ -28,9 +30,9 @@
 export interface ModelEngine {
   readonly rankCount: number;
   submit(rank: number, request: engineRank.RankRequest): void;
-  /** Returns the load of a rank, late. */
+  /** Returns the load of a rank as of `reportLagMs` ago. */
   readLoad(rank: number): ports.EngineLoad;
-  /** Returns the last step, late. */
+  /** Returns the last step as of `reportLagMs` ago. */
   readLastStep(): StepReport;
   listCacheEvents(
     rank: number,
@@ -42,18 +44,18 @@
   ): engineOrders.OrderOutcome;
   readOrderState(rank: number): engineOrders.OrderState;
   setSpeed(rank: number, speed: number): void;
-  /** Holds the whole group until the rank goes on. */
+  /** Stalls the rank; the group finishes no step until it continues. */
   stall(rank: number, options: { readonly durationMs: number }): void;
-  /** Fails the requests of the rank; refuses new ones until `restart`. */
+  /** Fails the requests of the rank, and new requests until `restart`. */
   crash(rank: number): void;
   restart(rank: number): void;
   isCrashed(rank: number): boolean;
 }
 
-interface Slot {
-  readonly work: engineRank.Rank;
+interface GroupRank {
+  readonly executor: engineRank.Rank;
   readonly load: laggedValue.LaggedValue<ports.EngineLoad>;
-  orders: engineOrders.OrderState;
+  orderState: engineOrders.OrderState;
   speed: number;
   crashed: boolean;
   stalledUntilMs: number;
@@ -61,16 +63,16 @@
 
 const initialLoad: ports.EngineLoad = { running: 0, queued: 0, stepUs: 0 };
 
-/** Creates a group without work whose experts are dealt out evenly. */
+/** Creates an idle group whose experts are spread evenly over the ranks. */
 export function createModelEngine(
   unresolved: modelEngineOptions.ModelEngineOptions,
 ): ModelEngine {
   const options = modelEngineOptions.resolveOptions(unresolved);
   const { scheduler: timers, expertCount, reportLagMs } = options;
   const costs = { baseMs: options.stepMs, tokenMs: options.tokenMs };
-  const draw = { ...options, skew: options.expertSkew };
-  const slots = Array.from({ length: options.rankCount }, createSlot);
-  const totals = Array.from({ length: expertCount }, () => 0);
+  const routing = { ...options, skew: options.expertSkew };
+  const ranks = Array.from({ length: options.rankCount }, createGroupRank);
+  const totalTokensByExpert = Array.from({ length: expertCount }, () => 0);
   const steps = laggedValue.createLaggedValue<StepReport>({
     clock: timers,
     lagMs: reportLagMs,
@@ -78,15 +80,15 @@
       stepCount: 0,
       durationUs: 0,
       mapVersion: 0,
-      rankUs: slots.map(() => 0),
-      tokensByExpert: [...totals],
+      rankUs: ranks.map(() => 0),
+      tokensByExpert: [...totalTokensByExpert],
     },
   });
   let map = expertStep.createEvenMap(expertCount, options.rankCount);
-  let stepping = false;
+  let isStepping = false;
 
-  function createSlot(): Slot {
-    const work = engineRank.createRank({
+  function createGroupRank(): GroupRank {
+    const executor = engineRank.createRank({
       scheduler: timers,
       batchLimit: options.batchLimit,
       prefillTokensPerStep: options.prefillTokensPerStep,
@@ -103,30 +105,37 @@
       lagMs: reportLagMs,
       initial: initialLoad,
     });
-    const orders = engineOrders.initialState;
-    return { work, load, orders, speed: 1, crashed: false, stalledUntilMs: 0 };
+    const orderState = engineOrders.initialState;
+    return {
+      executor,
+      load,
+      orderState,
+      speed: 1,
+      crashed: false,
+      stalledUntilMs: 0,
+    };
   }
 
-  function getSlot(rank: number): Slot {
-    const slot = slots[rank];
-    if (slot !== undefined) return slot;
-    throw new RangeError(`No rank ${rank} in a group of ${slots.length}`);
+  function getRank(rank: number): GroupRank {
+    const groupRank = ranks[rank];
+    if (groupRank !== undefined) return groupRank;
+    throw new RangeError(`No rank ${rank} in a group of ${ranks.length}`);
   }
 
   function startStep(): void {
-    if (stepping || slots.every(({ work }) => work.isIdle())) return;
-    stepping = true;
-    if (expertStep.hasLostExpert({ map, ranks: slots })) return pauseStep();
+    if (isStepping || ranks.every(({ executor }) => executor.isIdle())) return;
+    isStepping = true;
+    if (expertStep.hasLostExpert({ map, ranks })) return pauseStep();
     const tokensByExpert = Array.from({ length: expertCount }, () => 0);
-    for (const { work } of slots) {
-      for (const source of work.startStep()) {
-        for (const expert of expertStep.chooseExperts(source, draw)) {
+    for (const { executor } of ranks) {
+      for (const randomSource of executor.startStep()) {
+        for (const expert of expertStep.chooseExperts(randomSource, routing)) {
           tokensByExpert[expert]! += 1;
         }
       }
     }
-    const load = { map, ranks: slots, tokensByExpert, costs };
-    const rankMs = expertStep.computeRankTimes(load);
+    const stepLoad = { map, ranks, tokensByExpert, costs };
+    const rankMs = expertStep.computeRankTimes(stepLoad);
     const startMs = timers.now();
     const mapVersion = map.version;
     const step = { startMs, mapVersion, rankMs, tokensByExpert };
@@ -136,10 +145,10 @@
 
   function pauseStep(): void {
     const resume = () => {
-      stepping = false;
+      isStepping = false;
       startStep();
     };
-    timers.schedule(resume, { delayMs: pausedRetryMs });
+    timers.schedule(resume, { delayMs: lostExpertRetryMs });
   }
 
   interface Step {
@@ -151,44 +160,48 @@
 
   function finishStep(step: Step): void {
     const stalledUntilMs = Math.max(
-      ...slots.map((slot) => slot.crashed ? 0 : slot.stalledUntilMs),
+      ...ranks.map((groupRank) =>
+        groupRank.crashed ? 0 : groupRank.stalledUntilMs
+      ),
     );
     const delayMs = stalledUntilMs - timers.now();
     if (delayMs > 0) {
       return timers.schedule(() => finishStep(step), { delayMs });
     }
     recordStep(step);
-    for (const { work } of slots) work.finishStep();
-    stepping = false;
-    for (const slot of slots) updateLoad(slot);
+    for (const { executor } of ranks) executor.finishStep();
+    isStepping = false;
+    for (const groupRank of ranks) updateLoad(groupRank);
     startStep();
   }
 
   function recordStep(
     { startMs, mapVersion, rankMs, tokensByExpert }: Step,
   ): void {
-    tokensByExpert.forEach((count, expert) => totals[expert]! += count);
+    tokensByExpert.forEach((count, expert) =>
+      totalTokensByExpert[expert]! += count
+    );
     steps.set({
       stepCount: steps.getCurrent().stepCount + 1,
       durationUs: Math.round((timers.now() - startMs) * 1_000),
       mapVersion,
       rankUs: rankMs.map((durationMs) => Math.round(durationMs * 1_000)),
-      tokensByExpert: [...totals],
+      tokensByExpert: [...totalTokensByExpert],
     });
   }
 
-  function updateLoad({ work, load }: Slot): void {
+  function updateLoad({ executor, load }: GroupRank): void {
     const stepUs = steps.getCurrent().durationUs;
-    load.set({ ...work.countRequests(), stepUs });
+    load.set({ ...executor.countRequests(), stepUs });
   }
 
-  /** Puts a map in force once every live rank has installed that version. */
-  function switchMap(): void {
-    const live = slots.filter(({ crashed }) => !crashed);
-    const installed = live[0]?.orders.map;
+  /** Activates a map when every live rank has installed its version. */
+  function updateMap(): void {
+    const live = ranks.filter(({ crashed }) => !crashed);
+    const installed = live[0]?.orderState.map;
     if (installed === undefined) return;
-    const isInstalled = ({ orders }: Slot) =>
-      orders.map?.version === installed.version;
+    const isInstalled = ({ orderState }: GroupRank) =>
+      orderState.map?.version === installed.version;
     if (!live.every(isInstalled)) return;
     map = { version: installed.version, holders: installed.holders };
   }
@@ -196,50 +209,55 @@
   return {
     rankCount: options.rankCount,
     submit(rank, request) {
-      const slot = getSlot(rank);
-      if (slot.crashed) {
+      const groupRank = getRank(rank);
+      if (groupRank.crashed) {
         const message = `Rank ${rank} has crashed; send the request elsewhere`;
         request.onEvent({ kind: "failed", message, started: false });
         return;
       }
-      slot.work.enqueue(request, () => updateLoad(slot));
-      updateLoad(slot);
+      groupRank.executor.enqueue(request, () => updateLoad(groupRank));
+      updateLoad(groupRank);
       startStep();
     },
-    readLoad: (rank) => getSlot(rank).load.get(),
+    readLoad: (rank) => getRank(rank).load.get(),
     readLastStep: () => steps.get(),
-    listCacheEvents: (rank, since) => getSlot(rank).work.listCacheEvents(since),
+    listCacheEvents: (rank, since) =>
+      getRank(rank).executor.listCacheEvents(since),
     applyOrder(rank, order) {
-      const slot = getSlot(rank);
-      if (slot.crashed) return { kind: "crashed" };
+      const groupRank = getRank(rank);
+      if (groupRank.crashed) return { kind: "crashed" };
       const message = order.kind === "install_map"
         ? engineOrders.checkMap(order, options)
         : undefined;
       if (message !== undefined) return { kind: "invalid", message };
-      const result = engineOrders.applyOrder(slot.orders, order, options);
-      slot.orders = result.state;
-      switchMap();
+      const result = engineOrders.applyOrder(
+        groupRank.orderState,
+        order,
+        options,
+      );
+      groupRank.orderState = result.state;
+      updateMap();
       return result.outcome;
     },
-    readOrderState: (rank) => getSlot(rank).orders,
+    readOrderState: (rank) => getRank(rank).orderState,
     setSpeed(rank, speed) {
-      getSlot(rank).speed = speed;
+      getRank(rank).speed = speed;
     },
     stall(rank, { durationMs }) {
-      getSlot(rank).stalledUntilMs = timers.now() + durationMs;
+      getRank(rank).stalledUntilMs = timers.now() + durationMs;
     },
     crash(rank) {
-      const slot = getSlot(rank);
-      slot.crashed = true;
-      slot.work.fail(`Rank ${rank} crashed`);
-      updateLoad(slot);
+      const groupRank = getRank(rank);
+      groupRank.crashed = true;
+      groupRank.executor.fail(`Rank ${rank} crashed`);
+      updateLoad(groupRank);
     },
     restart(rank) {
-      const slot = getSlot(rank);
-      slot.crashed = false;
-      slot.stalledUntilMs = 0;
-      slot.orders = engineOrders.initialState;
+      const groupRank = getRank(rank);
+      groupRank.crashed = false;
+      groupRank.stalledUntilMs = 0;
+      groupRank.orderState = engineOrders.initialState;
     },
-    isCrashed: (rank) => getSlot(rank).crashed,
+    isCrashed: (rank) => getRank(rank).crashed,
   };
 }
--- a/packages/anvilhinge/src/stand_ins/model_engine_http.ts
+++ b/packages/anvilhinge/src/stand_ins/model_engine_http.ts
@@ -124,27 +124,32 @@
   );
 }
 
-/** Answers at the first event, so that an early failure gets its own status. */
+/**
+ * Sends the status with the first event, so that a failure before any token is
+ * answered with an error status.
+ */
 function sendStream(
   body: answer.ChatBody,
   submit: Submit,
 ): Promise<httpServer.HttpAnswer> {
-  let early: engineRank.RankEvent[] = [];
+  let bufferedEvents: engineRank.RankEvent[] = [];
   let sink: httpServer.Sink | undefined;
 
-  function open(opened: httpServer.Sink): void {
-    sink = opened;
-    for (const event of early) writeEvent(body, { sink: opened, event });
-    early = [];
+  function open(openedSink: httpServer.Sink): void {
+    sink = openedSink;
+    for (const event of bufferedEvents) {
+      writeEvent(body, { sink: openedSink, event });
+    }
+    bufferedEvents = [];
   }
 
   return new Promise((resolve) =>
     submit((event) => {
       if (sink !== undefined) return writeEvent(body, { sink, event });
-      if (event.kind === "failed" && early.length === 0) {
+      if (event.kind === "failed" && bufferedEvents.length === 0) {
         return resolve(encodeFailure(event));
       }
-      early.push(event);
+      bufferedEvents.push(event);
       const headers = { "content-type": "text/event-stream" };
       resolve({ kind: "stream", status: 200, headers, open });
     })
--- a/packages/anvilhinge/src/stand_ins/model_engine_options.ts
+++ b/packages/anvilhinge/src/stand_ins/model_engine_options.ts
@@ -11,7 +11,8 @@
   /** @default 2 */
   readonly expertsPerToken?: number;
   /**
-   * Unevenness of the experts; 1 is even.
+   * Skew of the choice of experts; 1 is uniform, a larger skew sends more
+   * tokens to low-numbered experts.
    * @default 1
    */
   readonly expertSkew?: number;
@@ -26,17 +27,17 @@
    */
   readonly tokenMs?: number;
   /**
-   * Largest number of requests that run on one rank.
+   * Maximum number of requests in the batch of one rank.
    * @default 16
    */
   readonly batchLimit?: number;
   /**
-   * Prompt tokens outside the cache that one step takes in.
+   * Uncached prompt tokens of a request that one step processes.
    * @default 256
    */
   readonly prefillTokensPerStep?: number;
   /**
-   * Blocks of 16 tokens in the prefix cache of a rank.
+   * Capacity of the prefix cache of a rank, in blocks of 16 tokens.
    * @default 1024
    */
   readonly cacheBlocks?: number;
@@ -51,12 +52,12 @@
    */
   readonly eventLagMs?: number;
   /**
-   * Share of cache events that are lost.
+   * Share of cache events that are never published, 0 to 1.
    * @default 0.05
    */
   readonly eventLossRatio?: number;
   /**
-   * Refuses orders with an old fencing number.
+   * Whether a rank refuses fencing numbers below the highest one seen.
    * @default true
    */
   readonly checksFencing?: boolean;
@@ -77,12 +78,14 @@
   checksFencing: true,
 } as const;
 
-/** Fills in the defaults, also for options that are given as undefined. */
+/** Fills in the defaults, also for options that are set to undefined. */
 export function resolveOptions(
   options: ModelEngineOptions,
 ): Required<ModelEngineOptions> {
-  const given = Object.entries(options)
+  const definedEntries = Object.entries(options)
     .filter(([_name, value]) => value !== undefined);
-  const named = Object.fromEntries(given) as unknown as ModelEngineOptions;
-  return { ...defaults, ...named };
+  const definedOptions = Object.fromEntries(
+    definedEntries,
+  ) as unknown as ModelEngineOptions;
+  return { ...defaults, ...definedOptions };
 }
--- a/packages/anvilhinge/src/stand_ins/model_engine_test.ts
+++ b/packages/anvilhinge/src/stand_ins/model_engine_test.ts
@@ -47,7 +47,7 @@
 }
 
 describe("model engine", () => {
-  test("answers exactly what describeAnswer tells, whatever else runs", () => {
+  test("delivers exactly the tokens of generateTokens under any other load", () => {
     const bodies = fastCheck.array(
       fastCheck.tuple(
         fastCheck.string({ maxLength: 200 }),
@@ -73,7 +73,7 @@
     );
   });
 
-  test("waits in each step for the slowest rank", () => {
+  test("waits for the slowest rank in each step", () => {
     const { scheduler, engine } = createGroup();
     engine.setSpeed(1, 0.5);
     const { events } = send(engine);
@@ -88,7 +88,7 @@
     expect(events).toHaveLength(2);
   });
 
-  test("takes longer under a map that loads one rank with all tokens", () => {
+  test("takes longer steps under a map that puts all experts on one rank", () => {
     const measure = (holders: number[][]) => {
       const { scheduler, engine } = createGroup({ tokenMs: 1, reportLagMs: 0 });
       for (const rank of [0, 1]) {
@@ -105,18 +105,18 @@
       scheduler.advance(100);
       return engine.readLastStep();
     };
-    const one = measure([[0], [0], [0], [0]]);
+    const single = measure([[0], [0], [0], [0]]);
     const even = measure([[0, 1], [0, 1], [0, 1], [0, 1]]);
-    expect(one.mapVersion).toBe(1);
-    expect(one.rankUs[1]).toBe(20_000);
-    expect(one.durationUs).toBe(Math.max(...one.rankUs));
-    expect(even.durationUs).toBeLessThan(one.durationUs);
+    expect(single.mapVersion).toBe(1);
+    expect(single.rankUs[1]).toBe(20_000);
+    expect(single.durationUs).toBe(Math.max(...single.rankUs));
+    expect(even.durationUs).toBeLessThan(single.durationUs);
     expect(even.tokensByExpert.reduce((sum, count) => sum + count))
-      // The first request starts a step alone; the others join the next one.
+      // The first request starts a step alone; the others join the next step.
       .toBe(2 + (even.stepCount - 1) * 8 * 2);
   });
 
-  test("starts urgent requests first and batches up to its limit", () => {
+  test("starts urgent requests first and keeps to the batch limit", () => {
     const { scheduler, engine } = createGroup({ batchLimit: 1 });
     const first = send(engine, { priority: 5 });
     const low = send(engine, { priority: 5 });
@@ -128,7 +128,7 @@
     expect(low.events).toEqual([]);
   });
 
-  test("stops at the deadline and at a cancel", () => {
+  test("removes a request at its deadline and when it is cancelled", () => {
     const { scheduler, engine } = createGroup({
       batchLimit: 1,
       reportLagMs: 0,
@@ -147,7 +147,7 @@
     expect(scheduler.countTimers()).toBe(0);
   });
 
-  test("gives the first token sooner when the prefix is cached", () => {
+  test("delivers the first token sooner when the prefix is cached", () => {
     const { scheduler, engine } = createGroup({ eventLossRatio: 0 });
     const body = createBody("word ".repeat(1_023), 1);
     const first = send(engine, { body });
@@ -164,7 +164,7 @@
     expect(engine.listCacheEvents(0, 0)).toHaveLength(64);
   });
 
-  test("evicts beyond the cache limit and leaves gaps in its events", () => {
+  test("evicts blocks beyond the cache capacity and loses some cache events", () => {
     const { scheduler, engine } = createGroup({
       cacheBlocks: 8,
       eventLossRatio: 0.5,
@@ -178,7 +178,7 @@
     expect(events.length).toBeLessThan(events.at(-1)!.sequence);
   });
 
-  test("reports its load late", () => {
+  test("reports load with the report lag", () => {
     const { scheduler, engine } = createGroup({ reportLagMs: 100 });
     scheduler.advance(500);
     send(engine);
@@ -192,53 +192,58 @@
     });
   });
 
-  test("refuses an old fencing number only when it checks them", () => {
-    const role = (fencingNumber: number, name: string) =>
+  test("refuses an old fencing number only when checksFencing is set", () => {
+    const createRoleOrder = (fencingNumber: number, name: string) =>
       ({ kind: "set_role", fencingNumber, role: name }) as const;
     const strict = createGroup().engine;
-    strict.applyOrder(0, role(5, "new"));
-    expect(strict.applyOrder(0, role(4, "old")))
+    strict.applyOrder(0, createRoleOrder(5, "new"));
+    expect(strict.applyOrder(0, createRoleOrder(4, "old")))
       .toEqual({ kind: "fenced", highestFencingNumber: 5 });
     expect(strict.readOrderState(0).role).toBe("new");
-    const lax = createGroup({ checksFencing: false }).engine;
-    lax.applyOrder(0, role(5, "new"));
-    expect(lax.applyOrder(0, role(4, "old"))).toEqual({ kind: "done" });
-    expect(lax.readOrderState(0).role).toBe("old");
+    const permissive = createGroup({ checksFencing: false }).engine;
+    permissive.applyOrder(0, createRoleOrder(5, "new"));
+    expect(permissive.applyOrder(0, createRoleOrder(4, "old"))).toEqual({
+      kind: "done",
+    });
+    expect(permissive.readOrderState(0).role).toBe("old");
   });
 
-  test("changes the map once all ranks have it and refuses one that misfits", () => {
+  test("rejects an invalid map and activates a map that all ranks installed", () => {
     const { scheduler, engine } = createGroup({ reportLagMs: 0 });
-    const order = (rank: number, holders: number[][]) =>
+    const installMap = (rank: number, holders: number[][]) =>
       engine.applyOrder(rank, {
         kind: "install_map",
         fencingNumber: 1,
         version: 7,
         holders,
       });
-    expect(order(0, [[0], [1], [0]]).kind).toBe("invalid");
-    expect(order(0, [[0], [1], [0], [2]]).kind).toBe("invalid");
-    expect(order(0, [[0], [1], [0], [1]]).kind).toBe("done");
+    expect(installMap(0, [[0], [1], [0]]).kind).toBe("invalid");
+    expect(installMap(0, [[0], [1], [0], [2]]).kind).toBe("invalid");
+    expect(installMap(0, [[0], [1], [0], [1]]).kind).toBe("done");
     send(engine, { body: createBody("long", 8) });
     scheduler.advance(20);
     expect(engine.readLastStep().mapVersion).toBe(0);
-    order(1, [[0], [1], [0], [1]]);
+    installMap(1, [[0], [1], [0], [1]]);
     scheduler.advance(20);
     expect(engine.readLastStep().mapVersion).toBe(0);
     scheduler.advance(20);
     expect(engine.readLastStep().mapVersion).toBe(7);
   });
 
-  test("fails the work of a crashed rank and holds the group without its experts", () => {
+  test("fails the requests of a crashed rank and pauses the group until a new map", () => {
     const { scheduler, engine } = createGroup();
-    const lost = send(engine, { rank: 1 });
-    const other = send(engine, { rank: 0 });
+    const failed = send(engine, { rank: 1 });
+    const survivor = send(engine, { rank: 0 });
     scheduler.advance(20);
     engine.crash(1);
-    expect(lost.events.at(-1)).toMatchObject({ kind: "failed", started: true });
+    expect(failed.events.at(-1)).toMatchObject({
+      kind: "failed",
+      started: true,
+    });
     expect(send(engine, { rank: 1 }).events)
       .toMatchObject([{ kind: "failed", started: false }]);
     scheduler.advance(1_000);
-    expect(other.events.at(-1)).toMatchObject({ kind: "token" });
+    expect(survivor.events.at(-1)).toMatchObject({ kind: "token" });
     engine.applyOrder(0, {
       kind: "install_map",
       fencingNumber: 1,
@@ -246,6 +251,6 @@
       holders: [[0], [0], [0], [0]],
     });
     scheduler.advance(50);
-    expect(other.events.at(-1)).toEqual({ kind: "end" });
+    expect(survivor.events.at(-1)).toEqual({ kind: "end" });
   });
 });
--- a/packages/anvilhinge/src/stand_ins/object_api.ts
+++ b/packages/anvilhinge/src/stand_ins/object_api.ts
@@ -1,17 +1,19 @@
 /**
- * Core of the object API stand-in: versioned values under keys, conditional
- * updates, and watches fed from an event log of limited length.
+ * Core of the object API stand-in, which simulates the external object store:
+ * versioned values under keys, conditional updates, and watches that replay an
+ * event log of limited length.
  */
 import type * as objectStore from "../ports/object_store.ts";
 
-/** Largest accepted value, measured as UTF-8 JSON. */
+/** Size limit of a value, measured as UTF-8 JSON. */
 export const valueLimitBytes = 1024 * 1024;
 
 const defaultEventLimit = 10_000;
 
 export interface ObjectApiOptions {
   /**
-   * Number of events kept for watches that start in the past.
+   * Minimum number of events kept for watches that start in the past. The log
+   * is trimmed to it after growing to twice as many.
    * @default 10000
    */
   readonly eventLimit?: number;
@@ -35,7 +37,7 @@
   /** The value is larger than `valueLimitBytes`; nothing was written. */
   | { readonly kind: "too_large"; readonly message: string };
 
-/** Number of calls by kind since the start; a watch counts as one. */
+/** Number of calls by kind since the start; a watch counts as one call. */
 export interface CallCounts {
   readonly read: number;
   readonly list: number;
@@ -44,7 +46,7 @@
   readonly watch: number;
 }
 
-/** Object store that cannot fail. */
+/** Object store that is always available. */
 export interface ObjectApi {
   read(key: string): ApiReadOutcome;
   list(prefix: string): ApiListOutcome;
@@ -58,9 +60,9 @@
     condition: objectStore.WriteCondition,
   ): ApiWriteOutcome;
   /**
-   * Delivers events synchronously with the write that causes them; `onEvent`
-   * must not write, or else events overtake each other. The local store and the
-   * HTTP adapter queue the events.
+   * Delivers each event synchronously, within the write that causes it.
+   * `onEvent` must not write, or the event of its write would reach other
+   * watches first; the local store and the HTTP adapter therefore queue events.
    */
   watch(prefix: string, options: objectStore.WatchOptions): void;
   /** Ends all watches with a `closed` event. */
@@ -87,7 +89,7 @@
   const counts = { read: 0, list: 0, write: 0, remove: 0, watch: 0 };
   let events: ChangeEvent[] = [];
   let version = 0;
-  /** Version of the newest event that the log no longer holds. */
+  /** Version of the newest event that was dropped from the log. */
   let droppedVersion = 0;
 
   function publish(event: ChangeEvent): void {
@@ -113,17 +115,17 @@
 
     list(prefix) {
       counts.list += 1;
-      const listed = [...objects.values()]
+      const matching = [...objects.values()]
         .filter((object) => object.key.startsWith(prefix))
         .sort((left, right) => left.key < right.key ? -1 : 1);
-      return { kind: "listed", objects: listed, version };
+      return { kind: "listed", objects: matching, version };
     },
 
     write(key, value, { ifVersion }) {
       counts.write += 1;
       const text = JSON.stringify(value);
       const sizeBytes = Buffer.byteLength(text);
-      if (sizeBytes > valueLimitBytes) return refuseLarge(key, sizeBytes);
+      if (sizeBytes > valueLimitBytes) return refuseOversized(key, sizeBytes);
       const current = objects.get(key);
       if ((current?.version ?? 0) !== ifVersion) {
         return { kind: "conflict", current };
@@ -166,9 +168,9 @@
     },
 
     closeWatches(message) {
-      const closed = [...watchers];
+      const closedWatchers = [...watchers];
       watchers.clear();
-      for (const watcher of closed) {
+      for (const watcher of closedWatchers) {
         watcher.options.onEvent({ kind: "closed", message });
       }
     },
@@ -189,13 +191,13 @@
   return event.kind === "changed" ? event.object.version : event.version;
 }
 
-function refuseLarge(key: string, sizeBytes: number): ApiWriteOutcome {
+function refuseOversized(key: string, sizeBytes: number): ApiWriteOutcome {
   const message = `Value of "${key}" has ${sizeBytes} bytes, more than the ` +
     `limit of ${valueLimitBytes}; split it over several keys`;
   return { kind: "too_large", message };
 }
 
-/** Copies a value, so that no caller can change what is stored. */
+/** Parses a frozen copy, so that no caller can change the stored value. */
 function parseFrozen(text: string): unknown {
   return JSON.parse(text, (_name, value) => Object.freeze(value));
 }
--- a/packages/anvilhinge/src/stand_ins/object_api_http.ts
+++ b/packages/anvilhinge/src/stand_ins/object_api_http.ts
@@ -1,8 +1,8 @@
 /**
  * HTTP adapter of the object API stand-in. `GET`, `PUT` and `DELETE` of
  * `/objects/<key>` carry the version as entity tag; `GET /objects?prefix=`
- * lists; `GET /watch?prefix=&since=` stays open and sends one JSON event a
- * line; `GET /counts` tells the calls by kind.
+ * lists objects; `GET /watch?prefix=&since=` stays open and sends one JSON
+ * event per line; `GET /counts` returns the number of calls by kind.
  */
 import type * as objectStore from "../ports/object_store.ts";
 import type * as scheduler from "../ports/scheduler.ts";
--- a/packages/anvilhinge/src/stand_ins/object_api_test.ts
+++ b/packages/anvilhinge/src/stand_ins/object_api_test.ts
@@ -25,7 +25,7 @@
 }
 
 describe("object API", () => {
-  test("updates only under the stated version", () => {
+  test("applies a write only when its version condition holds", () => {
     const api = objectApi.createObjectApi();
     expect(api.write("a/1", { n: 1 }, { ifVersion: 0 }))
       .toEqual({ kind: "accepted", version: 1 });
@@ -50,7 +50,7 @@
       .toEqual({ read: 1, list: 1, write: 4, remove: 2, watch: 0 });
   });
 
-  test("refuses a value of more than 1 MiB", () => {
+  test("refuses a value larger than 1 MiB", () => {
     const api = objectApi.createObjectApi();
     const fits = "x".repeat(objectApi.valueLimitBytes - 2);
     expect(api.write("a", fits, { ifVersion: 0 }).kind).toBe("accepted");
@@ -58,7 +58,7 @@
     expect(api.read("b")).toEqual({ kind: "missing" });
   });
 
-  test("replays kept events to a watch and closes one from too old a version", () => {
+  test("replays kept events to a watch and closes a watch with a gap in its events", () => {
     const api = objectApi.createObjectApi({ eventLimit: 2 });
     for (let index = 1; index <= 5; index += 1) {
       api.write(`a/${index}`, index, { ifVersion: 0 });
@@ -80,7 +80,7 @@
   });
 });
 
-test("delivers only events above the version that a watch starts from", () => {
+test("delivers only events after the version that a watch starts from", () => {
   const api = objectApi.createObjectApi();
   for (let index = 1; index <= 3; index += 1) {
     api.write(`a/${index}`, index, { ifVersion: 0 });
@@ -94,7 +94,7 @@
 });
 
 describe("local object store", () => {
-  test("reports a lost answer as unknown though the write took effect", async () => {
+  test("reports an executed write as unknown when its answer is lost", async () => {
     const { api, faultSwitch, store } = createLocal();
     faultSwitch.set({ kind: "answer_lost" }, { callCount: 1 });
     expect((await store.write("k", 1, { ifVersion: 0 })).kind).toBe("unknown");
@@ -102,7 +102,7 @@
     expect((await store.read("k")).kind).toBe("found");
   });
 
-  test("applies a late write under its condition", async () => {
+  test("checks the condition of a late write when it is executed", async () => {
     const { scheduler, faultSwitch, store } = createLocal();
     const late = { kind: "late", delayMs: 50 } as const;
     faultSwitch.set(late, { callCount: 2 });
@@ -116,7 +116,7 @@
     expect(await store.read("k")).toMatchObject({ object: { value: 2 } });
   });
 
-  test("executes a duplicated write once", async () => {
+  test("applies a duplicated write once", async () => {
     const { api, faultSwitch, store } = createLocal();
     faultSwitch.set({ kind: "duplicated" });
     expect(await store.write("k", 1, { ifVersion: 0 }))
@@ -125,7 +125,7 @@
     expect(api.read("k")).toMatchObject({ object: { version: 1 } });
   });
 
-  test("gives up a stalled call without effect", async () => {
+  test("times out a stalled call without executing it", async () => {
     const { api, scheduler, faultSwitch, store } = createLocal();
     faultSwitch.set({ kind: "stall" }, { callCount: 1 });
     const outcome = store.write("k", 1, { ifVersion: 0 });
@@ -134,7 +134,7 @@
     expect(api.read("k").kind).toBe("missing");
   });
 
-  test("closes watches when it goes down and holds events in a stall", async () => {
+  test("delays events during a stall and closes watches during an outage", async () => {
     const { scheduler, faultSwitch, store } = createLocal();
     const watch = watchAll(store);
     await store.write("a/1", 1, { ifVersion: 0 });
--- a/packages/anvilhinge/src/stand_ins/plain_service.ts
+++ b/packages/anvilhinge/src/stand_ins/plain_service.ts
@@ -1,12 +1,13 @@
 /**
- * Core of the plain service stand-in: a registry whose records may be read
- * again at will, and a desk for filings that must not be repeated.
+ * Core of the plain service stand-in: a registry with records, whose reads are
+ * repeatable, and filings, which must not be executed twice. A ledger lists all
+ * executions, so that tests can detect a filing that was executed twice.
  */
 import type * as clock from "@anvilhinge/coordination/clock";
 import * as zod from "zod";
 
 const filingSchema = zod.object({
-  /** Identifies the filing for its author; equal for repeated calls. */
+  /** Identifier chosen by the author; a repeated filing carries it again. */
   businessId: zod.string().min(1),
   recordId: zod.string().min(1),
   text: zod.string(),
@@ -16,7 +17,7 @@
 
 /** One execution of a filing. */
 export interface LedgerEntry {
-  /** Counts from 1. */
+  /** Sequence number of the execution, from 1. */
   readonly filingNumber: number;
   readonly atMs: number;
   readonly filing: Filing;
@@ -25,7 +26,7 @@
 export interface ServiceRecord {
   readonly id: string;
   readonly title: string;
-  /** Numbers of the filings about this record. */
+  /** Numbers of the filings for this record. */
   readonly filingNumbers: readonly number[];
 }
 
@@ -38,16 +39,16 @@
 }
 
 export interface PlainService {
-  /** Returns the record of any identifier; records need not be created. */
+  /** Returns the record with an identifier; each identifier has a record. */
   readRecord(id: string): ServiceRecord;
-  /** Executes a filing, also when its business identifier is known. */
+  /** Executes a filing, without deduplication by the business identifier. */
   submitFiling(filing: Filing): LedgerEntry;
   getLedger(): readonly LedgerEntry[];
-  /** Returns how often the filing of a business identifier was executed. */
+  /** Returns how often filings with a business identifier were executed. */
   countExecutions(businessId: string): number;
 }
 
-/** Checks the JSON value of a filing. */
+/** Validates the JSON value of a filing. */
 export function parseFiling(value: unknown): ParseOutcome {
   const result = filingSchema.safeParse(value);
   if (result.success) return { kind: "parsed", filing: result.data };
--- a/packages/anvilhinge/src/stand_ins/prefix_cache.ts
+++ b/packages/anvilhinge/src/stand_ins/prefix_cache.ts
@@ -1,14 +1,16 @@
 /**
- * Prompt prefixes that one rank keeps, in blocks of tokens; the least recently
- * used blocks are evicted. Changes are published late and with gaps.
+ * Prefix cache of one rank: holds prompt prefixes in blocks of tokens and
+ * evicts the least recently used blocks. Changes are published as events with a
+ * lag; some events are lost.
  */
 import * as crypto from "node:crypto";
 import type * as clock from "@anvilhinge/coordination/clock";
 import type * as random from "@anvilhinge/coordination/random";
 
-/** Number of tokens of one block. */
+/** Number of tokens in one block. */
 export const blockTokens = 16;
 
+/** Minimum number of events kept for readers. */
 const eventLimit = 4_096;
 
 export interface PrefixCacheOptions {
@@ -21,10 +23,10 @@
 }
 
 export interface CacheEvent {
-  /** Counts all events, the unpublished ones included. */
+  /** Counts all events, including unpublished events. */
   readonly sequence: number;
   readonly kind: "stored" | "evicted";
-  /** Hash of the tokens from the start of the prompt to the block's end. */
+  /** Hash of all tokens from the start of the prompt to the block's end. */
   readonly prefixHash: string;
 }
 
@@ -57,9 +59,9 @@
   }
 
   function storeBlock(hash: string): void {
-    const known = blocks.delete(hash);
+    const wasCached = blocks.delete(hash);
     blocks.add(hash);
-    if (!known) emit("stored", hash);
+    if (!wasCached) emit("stored", hash);
   }
 
   function evictOldest(): void {
@@ -72,18 +74,20 @@
   return {
     countCachedTokens(tokens) {
       const hashes = hashPrefixes(tokens);
-      const missing = hashes.findIndex((hash) => !blocks.has(hash));
-      return blockTokens * (missing < 0 ? hashes.length : missing);
+      const firstMissing = hashes.findIndex((hash) => !blocks.has(hash));
+      return blockTokens * (firstMissing < 0 ? hashes.length : firstMissing);
     },
     store(tokens) {
-      // Later blocks first, so that a prefix is never older than what it leads.
+      // Later blocks first, so that a prefix is evicted after its extensions.
       for (const hash of hashPrefixes(tokens).reverse()) storeBlock(hash);
       while (blocks.size > options.capacityBlocks) evictOldest();
     },
     listEvents(since) {
-      const limitMs = options.clock.now() - options.eventLagMs;
+      const publishedUntilMs = options.clock.now() - options.eventLagMs;
       return events
-        .filter(({ atMs, event }) => atMs <= limitMs && event.sequence > since)
+        .filter(({ atMs, event }) =>
+          atMs <= publishedUntilMs && event.sequence > since
+        )
         .map(({ event }) => event);
     },
     clear() {
@@ -92,7 +96,7 @@
   };
 }
 
-/** Returns the hash of each whole-block prefix, the shortest first. */
+/** Returns the hash of each prefix of whole blocks, shortest first. */
 export function hashPrefixes(tokens: readonly string[]): string[] {
   const hashes: string[] = [];
   let previous = "";
--- a/packages/anvilhinge/src/stand_ins/weight_store.ts
+++ b/packages/anvilhinge/src/stand_ins/weight_store.ts
@@ -1,33 +1,34 @@
-/** Core of the weight store stand-in: downloads share one token bucket. */
+/** Core of the weight store stand-in: all downloads share one token bucket. */
 import type * as clock from "@anvilhinge/coordination/clock";
 
 export interface WeightStoreOptions {
   readonly clock: clock.Clock;
   readonly bytesPerSecond: number;
   /**
-   * Bytes that arrive at once after an idle time.
+   * Size of the bucket: bytes that arrive at once after an idle period.
    * @default 0
    */
   readonly burstBytes?: number;
 }
 
 export interface WeightStore {
-  /** Returns the instant in milliseconds when the bytes have arrived. */
+  /** Returns the time in milliseconds at which all bytes have arrived. */
   scheduleDownload(bytes: number): number;
 }
 
-/** Creates a store with a full bucket; downloads are served in turn. */
+/** Creates a store with a full bucket; it serves downloads in request order. */
 export function createWeightStore(options: WeightStoreOptions): WeightStore {
   const burstBytes = options.burstBytes ?? 0;
   const bytesPerMs = options.bytesPerSecond / 1_000;
   let availableBytes = burstBytes;
-  let updatedMs = options.clock.now();
+  let refilledAtMs = options.clock.now();
   return {
     scheduleDownload(bytes) {
       const nowMs = options.clock.now();
-      const refilled = availableBytes + (nowMs - updatedMs) * bytesPerMs;
-      updatedMs = nowMs;
-      availableBytes = Math.min(burstBytes, refilled) - bytes;
+      const refilledBytes = availableBytes +
+        (nowMs - refilledAtMs) * bytesPerMs;
+      refilledAtMs = nowMs;
+      availableBytes = Math.min(burstBytes, refilledBytes) - bytes;
       return nowMs + Math.max(0, -availableBytes) / bytesPerMs;
     },
   };
--- a/packages/anvilhinge/src/stand_ins/weight_store_http.ts
+++ b/packages/anvilhinge/src/stand_ins/weight_store_http.ts
@@ -1,6 +1,7 @@
 /**
  * HTTP adapter of the weight store stand-in:
- * `GET /weights/<name>?bytes=` is answered when that many bytes have arrived.
+ * `GET /weights/<name>?bytes=` is answered at the time at which a download of
+ * that many bytes would complete.
  */
 import type * as scheduler from "../ports/scheduler.ts";
 import type * as faults from "./faults.ts";
--- a/packages/anvilhinge/src/stand_ins/weight_store_http_test.ts
+++ b/packages/anvilhinge/src/stand_ins/weight_store_http_test.ts
@@ -4,7 +4,7 @@
 import * as weightStore from "./weight_store.ts";
 import * as weightStoreHttp from "./weight_store_http.ts";
 
-test("answers over HTTP when the bytes have arrived", async () => {
+test("answers over HTTP when all bytes have arrived", async () => {
   const controller = new AbortController();
   const scheduler = manualScheduler.createManualScheduler();
   const { baseUrl } = await weightStoreHttp.createWeightStoreHttp({
@@ -31,9 +31,9 @@
   scheduler.advance(1);
   expect(await answer).toEqual({ bytes: 2_000 });
   expect(answeredMs).toBe(2_000);
-  const bad = await undici.request(`${baseUrl}/weights/m`, { dispatcher });
-  expect(bad.statusCode).toBe(400);
-  await bad.body.dump();
+  const rejected = await undici.request(`${baseUrl}/weights/m`, { dispatcher });
+  expect(rejected.statusCode).toBe(400);
+  await rejected.body.dump();
   controller.abort();
   await dispatcher.destroy();
 });
