--- a/packages/anvilhinge/src/dev/caller.ts
+++ b/packages/anvilhinge/src/dev/caller.ts
@@ -1,15 +1,15 @@
-/** A caller of the system over HTTP, as demos and tests use it. */
+/** HTTP client of the system, used by demos and tests. */
 import * as eventsourceParser from "eventsource-parser";
 import * as undici from "undici";
 
-/** How a streamed chat completion ended. */
+/** Outcome of a streamed chat completion. */
 export type ChatOutcome =
   | {
     readonly kind: "complete";
     readonly tokens: readonly string[];
     readonly lastEventId: string;
   }
-  /** Broken off after some tokens; may be resumed from the last event id. */
+  /** Interrupted after the listed tokens; resumable from `lastEventId`. */
   | {
     readonly kind: "broken";
     readonly tokens: readonly string[];
@@ -26,14 +26,14 @@
   };
 
 export interface ChatRequest {
-  /** Entry's address as `host:port`. */
+  /** Address of the entry as `host:port`. */
   readonly address: string;
   readonly workspace: string;
   readonly body: Readonly<Record<string, unknown>>;
   readonly headers?: Readonly<Record<string, string>>;
   readonly dispatcher?: undici.Dispatcher;
   readonly signal?: AbortSignal;
-  /** Called at each token. */
+  /** Called for each token. */
   readonly onToken?: (token: string) => void;
 }
 
@@ -45,14 +45,15 @@
   };
 }
 
-const endOfStream = "[DONE]";
+/** Data of the last event of a complete stream. */
+const endMarker = "[DONE]";
 
 /** Sends a streamed chat completion and reads its answer to the end. */
 export async function sendChat(request: ChatRequest): Promise<ChatOutcome> {
   const tokens: string[] = [];
   let lastEventId = "";
   let isComplete = false;
-  let failure = "The stream ended before its end mark";
+  let failure = "Stream ended without its end marker";
   const parser = eventsourceParser.createParser({
     onEvent(event) {
       if (event.event === "error") {
@@ -60,7 +61,7 @@
         return;
       }
       lastEventId = event.id ?? lastEventId;
-      if (event.data === endOfStream) {
+      if (event.data === endMarker) {
         isComplete = true;
         return;
       }
@@ -114,7 +115,7 @@
   return chunk.choices?.[0]?.delta?.content ?? "";
 }
 
-/** Asks an entry which addresses a workspace should use. */
+/** Fetches the addresses of the entries that a workspace should use. */
 export async function fetchAddresses(
   address: string,
   workspace: string,
--- a/packages/anvilhinge/src/dev/control_test.ts
+++ b/packages/anvilhinge/src/dev/control_test.ts
@@ -18,7 +18,9 @@
   subtrees: ["/association/drafting"],
 }];
 const entriesPerHalf = 7;
+/** Two entries of each of the three failure domains. */
 const watchersPerHalf = 6;
+/** Key prefixes of the object store that each of them watches. */
 const prefixCount = 2;
 const chat = {
   workspace: "drafting/milan",
@@ -52,17 +54,17 @@
 }
 
 async function poll(check: () => Promise<boolean> | boolean): Promise<boolean> {
-  for (let attempt = 0; attempt < 200; attempt += 1) {
+  for (let count = 0; count < 200; count += 1) {
     if (await check()) return true;
     await new Promise((resolve) => setTimeout(resolve, 25));
   }
   return false;
 }
 
-describe("settings and members over the entries of a half", () => {
+describe("settings and membership across the entries of a half", () => {
   const abort = new AbortController();
   let running: system.RunningSystem;
-  let own: readonly system.SystemEntry[];
+  let halfEntries: readonly system.SystemEntry[];
 
   beforeAll(async () => {
     running = await playgroundSystem.startPlaygroundSystem({
@@ -70,7 +72,7 @@
       entriesPerHalf,
       operators,
     });
-    own = running.entries.filter(({ half }) => half === "association");
+    halfEntries = running.entries.filter(({ half }) => half === "association");
   });
 
   afterAll(async () => {
@@ -86,7 +88,7 @@
     }[];
   }
 
-  async function hasLecco({ address }: { readonly address: string }) {
+  async function hasTestWorkspace({ address }: { readonly address: string }) {
     const headers = { "x-workspace": "drafting/lecco" };
     const { status } = await send(address, "/v1/addresses", { headers });
     return status === 200;
@@ -98,43 +100,46 @@
       .toBe(true);
   });
 
-  test("a change accepted at one entry is in force at every entry", async () => {
-    const [first] = own;
+  test("a settings change accepted at one entry takes effect at every entry", async () => {
+    const [first] = halfEntries;
     const answer = await put(first!.address, workspacePath, {
       text: workspace,
       headers: { "change-id": "change-0001" },
     });
     expect(answer.status).toBe(200);
-    for (const running of own) {
-      expect(await poll(() => hasLecco(running))).toBe(true);
+    for (const halfEntry of halfEntries) {
+      expect(await poll(() => hasTestWorkspace(halfEntry))).toBe(true);
     }
-    const found = await send(
-      own[1]!.address,
+    const changeAnswer = await send(
+      halfEntries[1]!.address,
       `/changes/change-0001?path=${workspacePath}`,
     );
     const version = Number(String(answer.headers.etag).replaceAll('"', ""));
-    expect(JSON.parse(found.text)).toEqual({ outcome: "accepted", version });
+    expect(JSON.parse(changeAnswer.text)).toEqual({
+      outcome: "accepted",
+      version,
+    });
   });
 
-  test("entries of the other half don't get the workspace", async () => {
+  test("entries of the other half do not receive the workspace", async () => {
     const other = running.entries.find(({ half }) => half === "water_board")!;
-    expect(await hasLecco(other)).toBe(false);
+    expect(await hasTestWorkspace(other)).toBe(false);
   });
 
-  test("a team's token doesn't write elsewhere", async () => {
-    const { address } = own[0]!;
-    const elsewhere = "/association/archive/models/other";
+  test("a token cannot write another team's settings, nor a wrong token any", async () => {
+    const { address } = halfEntries[0]!;
+    const otherTeamPath = "/association/archive/models/other";
     const text = JSON.stringify({ maxTokens: 1 });
-    expect((await put(address, elsewhere, { text })).status).toBe(403);
+    expect((await put(address, otherTeamPath, { text })).status).toBe(403);
     const headers = { authorization: "Bearer wrong" };
-    const refused = await put(address, workspacePath, { text, headers });
-    expect(refused.status).toBe(403);
+    const rejected = await put(address, workspacePath, { text, headers });
+    expect(rejected.status).toBe(403);
   });
 
-  test("a reference to something missing is refused with its line", async () => {
+  test("a reference to a missing object is refused with its line", async () => {
     const text = workspace.replace('["drafting"]', '["none"]');
     const path = "/association/drafting/workspaces/varese";
-    const answer = await put(own[0]!.address, path, { text });
+    const answer = await put(halfEntries[0]!.address, path, { text });
     expect(answer.status).toBe(422);
     expect(JSON.parse(answer.text).problems[0]).toMatchObject({
       path: "models[0]",
@@ -143,29 +148,34 @@
     });
   });
 
-  test("a change against an old version is refused with the present one", async () => {
+  test("a change against an old version is refused with the current version", async () => {
     const headers = { "if-none-match": "", "if-match": '"1"' };
     const text = workspace;
-    const answer = await put(own[0]!.address, workspacePath, { text, headers });
+    const answer = await put(halfEntries[0]!.address, workspacePath, {
+      text,
+      headers,
+    });
     expect(answer.status).toBe(412);
     expect(JSON.parse(answer.text).current.version).toBeGreaterThan(1);
   });
 
-  test("a change that could not be checked may be repeated", async () => {
+  test("a change that failed before its write can be repeated", async () => {
     const path = "/association/drafting/workspaces/lodi";
-    // Without a count: calls of the leases would use it up at times.
+    // No call count: calls that renew leases would sometimes use it up.
     running.storeFaults.set({ kind: "late", delayMs: 200 });
-    // The first call is the list, which fails before anything is written.
-    const first = await put(own[0]!.address, path, { text: workspace });
+    // The first call of the change is a list; it fails before the write.
+    const failedPut = await put(halfEntries[0]!.address, path, {
+      text: workspace,
+    });
     running.storeFaults.set({ kind: "none" });
-    expect(first.status).toBe(503);
-    const second = await put(own[0]!.address, path, { text: workspace });
-    expect(second.status).toBe(200);
+    expect(failedPut.status).toBe(503);
+    const retry = await put(halfEntries[0]!.address, path, { text: workspace });
+    expect(retry.status).toBe(200);
   });
 
-  test("an outage of the store stops changes, not service", async () => {
+  test("an object store outage blocks settings changes but no requests or starts", async () => {
     running.storeFaults.set({ kind: "down" });
-    const { address } = own[0]!;
+    const { address } = halfEntries[0]!;
     const path = "/association/drafting/workspaces/sondrio";
     const refused = await put(address, path, { text: workspace });
     expect(refused.status).toBe(503);
@@ -177,7 +187,7 @@
       half: "association",
       address: { host: "127.0.0.1", port: 0 },
       controlAddress: { host: "127.0.0.1", port: 0 },
-      failureDomain: own[0]!.failureDomain,
+      failureDomain: halfEntries[0]!.failureDomain,
       region: "milan",
       platform: {
         objectStore: "http://127.0.0.1:1",
@@ -195,29 +205,29 @@
         list: () =>
           Promise.resolve({
             kind: "listed",
-            instances: own.map((known) => ({
-              ...known,
+            instances: halfEntries.map((member) => ({
+              ...member,
               role: "entry",
               state: "live",
             })),
           }),
       },
     });
-    const joined = await starting;
-    abort.signal.addEventListener("abort", joined.kill);
-    expect(await hasLecco(joined)).toBe(true);
+    const lateEntry = await starting;
+    abort.signal.addEventListener("abort", lateEntry.kill);
+    expect(await hasTestWorkspace(lateEntry)).toBe(true);
     expect(
-      (await caller.sendChat({ address: joined.address, ...chat })).kind,
+      (await caller.sendChat({ address: lateEntry.address, ...chat })).kind,
     ).toBe("complete");
     running.storeFaults.set({ kind: "none" });
 
-    await joined.stop();
-    for (const known of own) {
-      const isGone = async () =>
-        (await listMembers(known.address)).every(({ id, state }) =>
+    await lateEntry.stop();
+    for (const member of halfEntries) {
+      const hasLeft = async () =>
+        (await listMembers(member.address)).every(({ id, state }) =>
           id !== settings.id || state === "leaving"
         );
-      expect(await poll(isGone)).toBe(true);
+      expect(await poll(hasLeft)).toBe(true);
     }
   });
 });
--- a/packages/anvilhinge/src/dev/default_settings.ts
+++ b/packages/anvilhinge/src/dev/default_settings.ts
@@ -1,11 +1,11 @@
-/** The settings that ship with the program: a folder, or an asset of the binary. */
+/** Settings that ship with the program: a folder, or an asset of the binary. */
 import * as fs from "node:fs";
 import * as nodePath from "node:path";
 import * as sea from "node:sea";
 import type * as objects from "../settings/objects.ts";
 import * as objectFiles from "../settings/object_files.ts";
 
-/** Name of the binary's asset: a JSON array of object sources. */
+/** Name of the asset in the binary: a JSON array of object sources. */
 export const settingsAssetName = "playground.json";
 
 const folderName = "playground";
@@ -34,7 +34,7 @@
     : await objectFiles.readObjectSources(folder);
 }
 
-/** Loads the objects of one half, or of both when `half` is undefined. */
+/** Loads the settings objects of one half, or of both without `half`. */
 export async function loadDefaultSettings(
   half?: string,
 ): Promise<SourcesOutcome> {
@@ -43,11 +43,11 @@
     ? all
     : all.filter((source) => source.path.startsWith(`/${half}/`));
   if (sources.length > 0) return { kind: "found", sources };
-  const known = [...new Set(all.map((source) => source.path.split("/")[1]))];
+  const halves = [...new Set(all.map((source) => source.path.split("/")[1]))];
   return {
     kind: "missing",
     message: `Playground "${half ?? folderName}" does not exist; known: ${
-      known.join(", ") || "none"
+      halves.join(", ") || "none"
     }`,
   };
 }
--- a/packages/anvilhinge/src/dev/drain_test.ts
+++ b/packages/anvilhinge/src/dev/drain_test.ts
@@ -21,7 +21,7 @@
   return { status: response.statusCode, body };
 }
 
-test("a drained entry is left out of the answers and serves what comes", async () => {
+test("a drained entry leaves the address answers and still serves requests", async () => {
   const abort = new AbortController();
   const running = await playgroundSystem.startPlaygroundSystem({
     half: "association",
@@ -35,34 +35,36 @@
   const [drained, other] = running.entries;
   const listAddresses = () => caller.fetchAddresses(other!.address, workspace);
 
-  async function waitFor(isWanted: (found: readonly string[]) => boolean) {
+  async function waitFor(
+    isExpected: (addresses: readonly string[]) => boolean,
+  ) {
     for (let poll = 0; poll < 200; poll += 1) {
-      if (isWanted(await listAddresses())) return true;
+      if (isExpected(await listAddresses())) return true;
       await new Promise((resolve) => setTimeout(resolve, 50));
     }
     return false;
   }
 
-  const isListed = (found: readonly string[]) =>
-    found.includes(drained!.address);
+  const isListed = (addresses: readonly string[]) =>
+    addresses.includes(drained!.address);
   expect(await waitFor(isListed)).toBe(true);
 
-  const order = { instance: drained!.id, bearer: "wrong" };
-  expect((await sendDrain(drained!.address, order)).status).toBe(403);
-  const elsewhere = await sendDrain(other!.address, {
-    ...order,
+  const drainRequest = { instance: drained!.id, bearer: "wrong" };
+  expect((await sendDrain(drained!.address, drainRequest)).status).toBe(403);
+  const misdirected = await sendDrain(other!.address, {
+    ...drainRequest,
     bearer: token,
   });
-  expect(elsewhere.status).toBe(404);
-  expect(elsewhere.body.error?.message).toContain(drained!.address);
+  expect(misdirected.status).toBe(404);
+  expect(misdirected.body.error?.message).toContain(drained!.address);
   expect(isListed(await listAddresses())).toBe(true);
 
   const accepted = await sendDrain(drained!.address, {
-    ...order,
+    ...drainRequest,
     bearer: token,
   });
   expect(accepted.status).toBe(200);
-  expect(await waitFor((found) => !isListed(found))).toBe(true);
+  expect(await waitFor((addresses) => !isListed(addresses))).toBe(true);
   const outcome = await caller.sendChat({
     address: drained!.address,
     workspace,
--- a/packages/anvilhinge/src/dev/faults_test.ts
+++ b/packages/anvilhinge/src/dev/faults_test.ts
@@ -5,8 +5,8 @@
 import * as playgroundSystem from "../testing/playground_system.ts";
 
 const workspace = "drafting/milan";
-/** Limited to 8 requests a second, 16 at once. */
-const smallWorkspace = "drafting/brescia";
+/** Limited to 8 requests per second and 16 concurrent requests. */
+const limitedWorkspace = "drafting/brescia";
 const testTimeoutMs = 60_000;
 
 describe("upstreams with faults", () => {
@@ -21,11 +21,11 @@
     });
     address = running.entries.find((entry) => entry.half === "association")!
       .address;
-    for (let attempt = 0; attempt < 100; attempt += 1) {
-      if ((await sendChat(`wait ${attempt}`)).kind === "complete") return;
+    for (let poll = 0; poll < 100; poll += 1) {
+      if ((await sendChat(`wait ${poll}`)).kind === "complete") return;
       await new Promise((resolve) => setTimeout(resolve, 50));
     }
-    throw new Error("The system did not answer");
+    throw new Error("System answered no chat within 100 polls");
   }, testTimeoutMs);
 
   afterAll(async () => {
@@ -47,17 +47,17 @@
   async function readMetric(name: string): Promise<number> {
     const response = await undici.request(`http://${address}/metrics`);
     const text = await response.body.text();
-    const line = text.split("\n").find((found) => found.startsWith(`${name} `));
+    const line = text.split("\n").find((row) => row.startsWith(`${name} `));
     return Number(line?.slice(name.length) ?? 0);
   }
 
-  test("answers stay whole while a third of the ranks crash", async () => {
+  test("no answer is truncated while a third of the ranks crash", async () => {
     const crashed = listSwitches().filter((_, index) => index % 3 === 0);
     for (const faultSwitch of crashed) faultSwitch.set({ kind: "crash" });
-    // Until the ranks are ejected a request may meet four of them in a row. It
-    // is then told so, never cut: a rank that broke the connection after the
-    // request was sent may have begun it, so only an attempt that reached no
-    // engine may count as not run.
+    // Until the crashed ranks are ejected, a request may be dispatched to four
+    // of them in a row. It is then refused, and never truncated. A rank that
+    // broke the connection after the request was sent may have started it, so
+    // an attempt counts as not run only if it reached no engine.
     for (let request = 0; request < 40; request += 1) {
       const outcome = await sendChat(`first ${request}`);
       if (outcome.kind === "complete") continue;
@@ -68,7 +68,7 @@
     }
     for (let request = 0; request < 40; request += 1) {
       const outcome = await sendChat(`crash ${request}`);
-      // The message, so that a failure of this test says why.
+      // Compares the message, so that a failure of this test shows the cause.
       expect(outcome.kind === "complete" ? "" : outcome.message).toBe("");
       expect(outcome.kind).toBe("complete");
     }
@@ -80,7 +80,7 @@
   }, testTimeoutMs);
 
   test(
-    "a workspace over its limit is refused with a time to come back",
+    "requests over the limit of a workspace are refused with a retry time",
     async () => {
       const responses = await Promise.all(
         Array.from(
@@ -89,7 +89,7 @@
             undici.request(`http://${address}/v1/chat/completions`, {
               method: "POST",
               headers: {
-                "x-workspace": smallWorkspace,
+                "x-workspace": limitedWorkspace,
                 "content-type": "application/json",
               },
               body: JSON.stringify({
@@ -126,8 +126,8 @@
     expect(await readMetric(stalls)).toBe(0);
     const [stalled] = listSwitches().slice(1);
     stalled!.set({ kind: "stall" });
-    // The load decides how soon a request reaches the rank that stalls; each
-    // request must be answered in full all the same.
+    // The load determines how soon a request reaches the stalled rank; all
+    // requests must be answered completely nevertheless.
     for (
       let round = 0;
       round < 20 && await readMetric(stalls) === 0;
--- a/packages/anvilhinge/src/dev/filing_test.ts
+++ b/packages/anvilhinge/src/dev/filing_test.ts
@@ -68,18 +68,19 @@
   );
 }
 
-const filings = "/services/registry/filings";
+const filingsPath = "/services/registry/filings";
 
-test("a filing that is sent again is answered from its record", async () => {
+test("a repeated filing is answered from the recorded outcome", async () => {
   const options = { key: "key-1", businessId: "filing-1" };
-  const first = await send(0, filings, options);
+  const first = await send(0, filingsPath, options);
   expect(first.status).toBe(201);
-  // The outcome is recorded a moment after the answer.
-  let again = await send(1, filings, options);
+  // The outcome is recorded shortly after the answer; until then, a repeat is
+  // refused with an unknown outcome.
+  let again = await send(1, filingsPath, options);
   for (let count = 0; count < 100 && again.status !== 201; count += 1) {
     expect(again.body.error).toMatchObject({ ran: "unknown" });
     await new Promise((resolve) => setTimeout(resolve, 50));
-    again = await send(1, filings, options);
+    again = await send(1, filingsPath, options);
   }
   expect(again).toEqual(first);
   expect(countExecutions("filing-1")).toBe(1);
@@ -92,25 +93,25 @@
   });
 });
 
-test("another body under the same key is refused", async () => {
+test("a different body under a used idempotency key is refused", async () => {
   const key = "key-2";
-  await send(0, filings, { key, businessId: "filing-2" });
-  const other = await send(1, filings, { key, businessId: "filing-3" });
+  await send(0, filingsPath, { key, businessId: "filing-2" });
+  const other = await send(1, filingsPath, { key, businessId: "filing-3" });
   expect(other.status).toBe(422);
   expect(other.body.error).toMatchObject({ code: "other_body", ran: "no" });
   expect(countExecutions("filing-3")).toBe(0);
 });
 
-test("an outage of the store stops filings with not run, not reads", async () => {
+test("an object store outage refuses filings as not run and serves reads", async () => {
   running.storeFaults.set({ kind: "down" });
-  const filing = await send(0, filings, { businessId: "filing-4" });
+  const filing = await send(0, filingsPath, { businessId: "filing-4" });
   expect(filing.status).toBe(503);
   expect(filing.body.error).toMatchObject({ code: "not_run", ran: "no" });
-  const named = await send(0, filings, {
+  const keyed = await send(0, filingsPath, {
     key: "key-4",
     businessId: "filing-4",
   });
-  expect(named.body.error).toMatchObject({
+  expect(keyed.body.error).toMatchObject({
     code: "outcome_unknown",
     ran: "unknown",
   });
@@ -120,7 +121,7 @@
   expect(countExecutions("filing-4")).toBe(0);
 });
 
-test("a request id that is not on record is said to be unknown", async () => {
+test("an unrecorded request id is reported as unknown", async () => {
   const outcome = await send(0, "/v1/requests/never-sent");
   expect(outcome.status).toBe(404);
   expect(outcome.body.error).toMatchObject({ ran: "unknown" });
--- a/packages/anvilhinge/src/dev/load.ts
+++ b/packages/anvilhinge/src/dev/load.ts
@@ -1,6 +1,7 @@
 /**
- * A bounded mixed load of both workloads over HTTP: streamed chats, reads and
- * filings, each answer checked against what the stand-ins were asked to say.
+ * Sends a fixed number of requests of mixed kinds over HTTP: streamed chats,
+ * reads and filings. Compares the tokens of each chat with the deterministic
+ * answer of the engine stand-in, and the filings with the services' ledgers.
  */
 import type * as random from "@anvilhinge/coordination/random";
 import * as histogram from "hdr-histogram-js";
@@ -11,7 +12,7 @@
 import * as caller from "./caller.ts";
 import type * as system from "./system.ts";
 
-/** What one half's callers ask for. */
+/** Model, service and workspaces that the callers of one half use. */
 export interface Workload {
   readonly half: names.Half;
   readonly model: string;
@@ -26,25 +27,26 @@
   readonly clock: clock.Clock;
   readonly random: random.RandomSource;
   readonly requestCount: number;
-  /** Requests in progress at once. */
+  /** Maximum number of requests in flight. */
   readonly concurrency: number;
-  /** Called after each request. */
-  readonly onProgress: (done: number) => void;
+  /** Called after each request with the number of finished requests. */
+  readonly onProgress: (finishedCount: number) => void;
 }
 
-/** Counts of the load and the distributions of its times. */
+/** Counts of requests by result, and distributions of token times. */
 export interface LoadReport {
   readonly requests: number;
-  /** Answers that are whole and the caller's own. */
+  /** Complete answers; chats only with the tokens of their own request. */
   readonly whole: number;
-  /** Requests that were told that they did not run. */
+  /** Chats refused as not run, and service calls answered with 503. */
   readonly notRun: number;
-  /** Answers that ended with an error which says so. */
+  /** Requests that failed with an error or an interrupted stream. */
   readonly failed: number;
-  /** Answers with foreign or missing content that claimed to be whole. */
+  /** Chats that ended as complete with wrong or missing tokens. */
   readonly wrong: number;
+  /** Accepted filings. */
   readonly filings: number;
-  /** Filings that the ledger holds more than once, or that were lost. */
+  /** Filings executed more than once, and accepted but not executed. */
   readonly filingErrors: number;
   /** Time to the first token in milliseconds. */
   readonly firstToken: histogram.Histogram;
@@ -52,7 +54,7 @@
   readonly betweenTokens: histogram.Histogram;
 }
 
-type Kind = "chat" | "read" | "filing";
+type RequestKind = "chat" | "read" | "filing";
 
 interface Counts {
   whole: number;
@@ -67,20 +69,20 @@
 const okStatus = 200;
 const unavailableStatus = 503;
 
-/** Runs the load to its end. */
+/** Sends all requests and waits for their answers. */
 export async function runLoad(options: LoadOptions): Promise<LoadReport> {
   const counts: Counts = { whole: 0, notRun: 0, failed: 0, wrong: 0 };
   const firstToken = histogram.build();
   const betweenTokens = histogram.build();
-  const accepted: string[] = [];
-  let started = 0;
-  let done = 0;
+  const acceptedFilings: string[] = [];
+  let startedCount = 0;
+  let finishedCount = 0;
 
   function pick<T>(values: readonly T[]): T {
     return values[Math.floor(options.random() * values.length)] as T;
   }
 
-  function chooseKind(): Kind {
+  function chooseKind(): RequestKind {
     const draw = options.random();
     if (draw < filingShare) return "filing";
     return draw < filingShare + readShare ? "read" : "chat";
@@ -90,16 +92,16 @@
     return options.system.entries.filter((entry) => entry.half === half);
   }
 
-  async function sendChat(load: Workload, index: number): Promise<void> {
+  async function sendChat(workload: Workload, index: number): Promise<void> {
     const body = {
-      model: load.model,
+      model: workload.model,
       messages: [{ role: "user", content: `Request ${index}` }],
     };
     const startMs = options.clock.now();
     let previousMs: number | undefined;
     const outcome = await caller.sendChat({
-      address: pick(listEntries(load.half)).address,
-      workspace: pick(load.workspaces),
+      address: pick(listEntries(workload.half)).address,
+      workspace: pick(workload.workspaces),
       body,
       onToken() {
         const nowMs = options.clock.now();
@@ -119,7 +121,7 @@
   }
 
   async function sendCall(
-    load: Workload,
+    workload: Workload,
     call: {
       readonly method: "GET" | "POST";
       readonly path: string;
@@ -127,14 +129,14 @@
       readonly expected: number;
     },
   ): Promise<boolean> {
-    const { address } = pick(listEntries(load.half));
+    const { address } = pick(listEntries(workload.half));
     const response = await undici.request(
-      `http://${address}/services/${load.service}${call.path}`,
+      `http://${address}/services/${workload.service}${call.path}`,
       {
         method: call.method,
         headers: {
           "content-type": "application/json",
-          "x-workspace": pick(load.workspaces),
+          "x-workspace": pick(workload.workspaces),
         },
         body: call.body,
       },
@@ -147,31 +149,31 @@
     return isExpected;
   }
 
-  async function sendFiling(load: Workload, index: number): Promise<void> {
-    const businessId = `${load.half}-${index}`;
+  async function sendFiling(workload: Workload, index: number): Promise<void> {
+    const businessId = `${workload.half}-${index}`;
     const body = JSON.stringify({
       businessId,
       recordId: `record-${index}`,
       text: `Filing ${index}`,
     });
-    const isAccepted = await sendCall(load, {
+    const isAccepted = await sendCall(workload, {
       method: "POST",
       path: "/filings",
       body,
       expected: acceptedStatus,
     });
-    if (isAccepted) accepted.push(businessId);
+    if (isAccepted) acceptedFilings.push(businessId);
   }
 
-  async function sendOne(index: number): Promise<void> {
-    const load = pick(options.workloads);
+  async function sendRandomRequest(index: number): Promise<void> {
+    const workload = pick(options.workloads);
     switch (chooseKind()) {
       case "chat":
-        return sendChat(load, index);
+        return sendChat(workload, index);
       case "filing":
-        return sendFiling(load, index);
+        return sendFiling(workload, index);
       case "read":
-        await sendCall(load, {
+        await sendCall(workload, {
           method: "GET",
           path: `/records/record-${index}`,
           expected: okStatus,
@@ -180,12 +182,12 @@
   }
 
   async function sendUntilDone(): Promise<void> {
-    while (started < options.requestCount) {
-      const index = started;
-      started += 1;
-      await sendOne(index);
-      done += 1;
-      options.onProgress(done);
+    while (startedCount < options.requestCount) {
+      const index = startedCount;
+      startedCount += 1;
+      await sendRandomRequest(index);
+      finishedCount += 1;
+      options.onProgress(finishedCount);
     }
   }
 
@@ -194,16 +196,16 @@
   );
   return {
     ...counts,
-    requests: done,
-    filings: accepted.length,
-    filingErrors: countMisfiled(options.system, accepted),
+    requests: finishedCount,
+    filings: acceptedFilings.length,
+    filingErrors: countFilingErrors(options.system, acceptedFilings),
     firstToken,
     betweenTokens,
   };
 }
 
-/** Counts filings that ran twice, and accepted ones that did not run. */
-function countMisfiled(
+/** Counts filings executed repeatedly, and accepted filings not executed. */
+function countFilingErrors(
   running: system.RunningSystem,
   accepted: readonly string[],
 ): number {
@@ -214,7 +216,7 @@
       executions.set(filing.businessId, count + 1);
     }
   }
-  const doubled = [...executions.values()].filter((count) => count > 1);
+  const duplicated = [...executions.values()].filter((count) => count > 1);
   const lost = accepted.filter((businessId) => !executions.has(businessId));
-  return doubled.length + lost.length;
+  return duplicated.length + lost.length;
 }
--- a/packages/anvilhinge/src/dev/mod.ts
+++ b/packages/anvilhinge/src/dev/mod.ts
@@ -1,4 +1,4 @@
-/** The dev role: the whole system with stand-ins, on embedded defaults. */
+/** The dev role: runs the whole system with stand-ins on default settings. */
 import * as nodeCrypto from "node:crypto";
 import * as random from "@anvilhinge/coordination/random";
 import * as outcome from "../cli/outcome.ts";
@@ -9,18 +9,18 @@
 import * as system from "./system.ts";
 
 export interface DevOptions {
-  /** Half whose playground is started; both when undefined. */
+  /** Half whose playground settings are used; both halves when undefined. */
   readonly playground?: string;
-  /** Stops the system gracefully. */
+  /** Stops the system gracefully when aborted. */
   readonly signal: AbortSignal;
-  /** Takes the text meant for a person. */
+  /** Receives the text printed for the user. */
   readonly output: { write(text: string): void };
 }
 
 /** Token that the dev system accepts from operators of every team. */
 export const devToken = "dev-token";
 
-/** Starts the system, prints its addresses, and runs until the signal. */
+/** Starts the system, prints its addresses, and runs until `signal` aborts. */
 export async function runDev(
   options: DevOptions,
 ): Promise<outcome.CommandOutcome> {
--- a/packages/anvilhinge/src/dev/moves_test.ts
+++ b/packages/anvilhinge/src/dev/moves_test.ts
@@ -18,7 +18,7 @@
   tokenSha256: nodeCrypto.createHash("sha256").update(token).digest("hex"),
   subtrees: ["/association/drafting"],
 }];
-const callers = [
+const loadSources = [
   { half: "association", workspace: "drafting/milan", model: "drafting" },
   {
     half: "water_board",
@@ -29,7 +29,7 @@
 
 const abort = new AbortController();
 let running: system.RunningSystem;
-let isLoadDone = false;
+let isLoadStopped = false;
 
 function getAddress(half: string): string {
   return running.entries.find((entry) => entry.half === half)?.address ?? "";
@@ -40,7 +40,7 @@
     if (await condition()) return;
     await new Promise((resolve) => setTimeout(resolve, 50));
   }
-  throw new Error("The condition did not come about");
+  throw new Error("Condition was not met within 400 polls");
 }
 
 beforeAll(async () => {
@@ -53,13 +53,13 @@
 }, 30_000);
 
 afterAll(async () => {
-  isLoadDone = true;
+  isLoadStopped = true;
   await running?.stop();
   abort.abort();
 }, 30_000);
 
 async function sendChat(
-  { half, workspace, model }: typeof callers[number],
+  { half, workspace, model }: typeof loadSources[number],
   text: string,
 ): Promise<string> {
   const body = { model, messages: [{ role: "user", content: text }] };
@@ -76,14 +76,17 @@
   return await response.body.json() as Record<string, unknown>;
 }
 
-/** Lets the Water Board's subtree say what the group serves there. */
-async function putGroupOfWaterBoard(): Promise<void> {
-  const own = `/association/drafting/groups/${group}`;
-  const present = await running.store.read(record.formatKey(own));
-  if (present.kind !== "found") throw new Error("No such group");
-  const stored = record.parseRecord(present.object.value);
-  // Near the Water Board's entries, which use near upstreams first: a group in
-  // another region gets work only when the near ones are loaded.
+/** Writes the settings under which the group serves the Water Board. */
+async function writeWaterBoardGroup(): Promise<void> {
+  const associationPath = `/association/drafting/groups/${group}`;
+  const current = await running.store.read(record.formatKey(associationPath));
+  if (current.kind !== "found") {
+    throw new Error(`Group ${group} has no settings`);
+  }
+  const stored = record.parseRecord(current.object.value);
+  // Places the group near the Water Board's entries, which prefer near
+  // upstreams: a group in another region gets requests only when the near
+  // upstreams are loaded.
   const text = stored!.text
     .replace('"model": "drafting"', '"model": "drawing-assistant"')
     .replaceAll(/"milan_([abc])"/g, '"lagos_$1"')
@@ -96,19 +99,25 @@
 }
 
 test(
-  "a group changes halves under load without a lost or cut answer",
+  "a group moves to the other half under load without a lost or truncated answer",
   async () => {
-    for (const one of callers) {
-      await waitUntil(async () => await sendChat(one, "warm-up") === "whole");
+    for (const source of loadSources) {
+      await waitUntil(async () =>
+        await sendChat(source, "warm-up") === "whole"
+      );
     }
-    await putGroupOfWaterBoard();
+    await writeWaterBoardGroup();
     const outcomes: string[] = [];
-    async function keepSending(one: typeof callers[number]): Promise<void> {
-      for (let index = 0; !isLoadDone; index += 1) {
-        outcomes.push(await sendChat(one, `${one.half} ${index}`));
+    async function sendRepeatedly(
+      source: typeof loadSources[number],
+    ): Promise<void> {
+      for (let index = 0; !isLoadStopped; index += 1) {
+        outcomes.push(await sendChat(source, `${source.half} ${index}`));
       }
     }
-    const load = [...callers, ...callers, ...callers].map(keepSending);
+    const load = [...loadSources, ...loadSources, ...loadSources].map(
+      sendRepeatedly,
+    );
     const started = await undici.request(
       `http://${getAddress("association")}/moves`,
       {
@@ -127,13 +136,14 @@
       epoch: 3,
       state: "serving",
     });
-    const engine = running.groups.find((one) => one.name === group)?.engine;
+    const engine = running.groups.find((candidate) => candidate.name === group)
+      ?.engine;
     const countSteps = () => engine?.readLastStep().stepCount ?? 0;
     const before = countSteps();
     await waitUntil(() => Promise.resolve(countSteps() > before));
-    const enough = outcomes.length + 30;
-    await waitUntil(() => Promise.resolve(outcomes.length > enough));
-    isLoadDone = true;
+    const targetCount = outcomes.length + 30;
+    await waitUntil(() => Promise.resolve(outcomes.length > targetCount));
+    isLoadStopped = true;
     await Promise.all(load);
     expect(outcomes.length).toBeGreaterThan(10);
     expect(outcomes.filter((outcome) => outcome !== "whole")).toEqual([]);
@@ -142,13 +152,13 @@
 );
 
 test(
-  "an order of the present holder is executed, an older one is fenced",
+  "an order of the current holder is executed and older orders are fenced",
   async () => {
     await waitUntil(async () =>
       await orders.readFloor(running.store, group) !== undefined
     );
     const floor = await orders.readFloor(running.store, group);
-    const target = running.groups.find((one) => one.name === group);
+    const target = running.groups.find((candidate) => candidate.name === group);
     const baseUrl = `http://${target?.agents[0]?.address}`;
     const sessionManager = new connectNode.Http2SessionManager(baseUrl);
     const client = connect.createClient(
@@ -165,15 +175,15 @@
         term: { epoch: floor!.epoch, fencingNumber, sequence },
         order: { kind: "set_role", role },
       }, { group, rank: 0 }));
-    const present = floor!.fencingNumber;
-    const fenced = await send("older", present - 1, 9);
+    const currentNumber = floor!.fencingNumber;
+    const fenced = await send("older", currentNumber - 1, 9);
     expect(fenced.outcome).toBe(ordersPb.OrderOutcome.FENCED);
-    const done = await send("present", present, 1);
-    expect(done.outcome).toBe(ordersPb.OrderOutcome.DONE);
-    const late = await send("late", present, 0);
+    const executed = await send("current", currentNumber, 1);
+    expect(executed.outcome).toBe(ordersPb.OrderOutcome.DONE);
+    const late = await send("late", currentNumber, 0);
     expect(late.outcome).toBe(ordersPb.OrderOutcome.FENCED);
     expect(target?.engine?.readOrderState(0)).toMatchObject({
-      role: "present",
+      role: "current",
     });
     sessionManager.abort();
   },
--- a/packages/anvilhinge/src/dev/resume_test.ts
+++ b/packages/anvilhinge/src/dev/resume_test.ts
@@ -21,20 +21,20 @@
 
 afterAll(() => abort.abort());
 
-interface Part {
+interface StreamPart {
   readonly status: number;
   readonly requestId: string;
   readonly text: string;
 }
 
-/** Sends the chat and reads until the stream ends or `onText` aborts it. */
+/** Sends the chat and reads until the stream ends or is interrupted. */
 async function readChat(
   entry: number,
   options: {
     readonly headers?: Readonly<Record<string, string>>;
     readonly onText?: (text: string) => void;
   } = {},
-): Promise<Part> {
+): Promise<StreamPart> {
   const response = await undici.request(
     `http://${running.entries[entry]!.address}/v1/chat/completions`,
     {
@@ -56,9 +56,9 @@
       options.onText?.(text);
     }
   } catch {
-    // The entry died; what was read so far counts.
+    // The entry was killed; the text read so far is returned.
   }
-  // A part of an event at the end of a broken stream is not an event.
+  // Drops an incomplete event at the end of an interrupted stream.
   text = text.slice(0, text.lastIndexOf("\n\n") + 2);
   return { status, requestId, text };
 }
@@ -80,7 +80,7 @@
   }
 }
 
-test("a stream goes on at another entry after the first has died", async () => {
+test("a stream resumes at another entry after the first entry is killed", async () => {
   await waitForAnswer();
   const first = await readChat(0, {
     onText(text) {
@@ -98,8 +98,8 @@
   const joined = first.text + second.text;
   expect(readTokens(joined)).toEqual(answer.generateTokens(body));
 
-  // The agent still holds the generation: every byte after the first event
-  // is the same when one entry delivers it in one piece.
+  // The agent still keeps the generation: resumed after the first event at a
+  // single entry, the remaining stream is identical byte for byte.
   const again = await readChat(2, { headers: { "last-event-id": ids[0]! } });
   const firstEvent = first.text.slice(0, first.text.indexOf("\n\n") + 2);
   expect(firstEvent + again.text).toBe(joined);
--- a/packages/anvilhinge/src/dev/shutdown_process_test.ts
+++ b/packages/anvilhinge/src/dev/shutdown_process_test.ts
@@ -16,7 +16,7 @@
 import * as caller from "./caller.ts";
 
 const mainFile = nodePath.join(__dirname, "../main.ts");
-const local = { host: "127.0.0.1", port: 0 };
+const loopbackAddress = { host: "127.0.0.1", port: 0 };
 const abort = new AbortController();
 const children: childProcess.ChildProcess[] = [];
 let folder: string;
@@ -31,20 +31,20 @@
   await fs.rm(folder, { recursive: true });
 });
 
-interface Started {
+interface StartedProcess {
   readonly process: childProcess.ChildProcess;
-  /** First group of the line that showed that the process is ready. */
-  readonly found: readonly string[];
+  /** Capture groups of the log line that shows that the process is ready. */
+  readonly captures: readonly string[];
   readonly exited: Promise<number | null>;
   readError(): string;
 }
 
-/** Starts a role and waits for the log line that matches. */
+/** Starts a role and waits for a log line that matches `pattern`. */
 async function startRole(
   role: "entry" | "agent",
   settings: Readonly<Record<string, unknown>>,
   pattern: RegExp,
-): Promise<Started> {
+): Promise<StartedProcess> {
   const file = nodePath.join(folder, `${role}-${children.length}.jsonc`);
   await fs.writeFile(file, JSON.stringify(settings));
   const child = childProcess.spawn(
@@ -60,15 +60,15 @@
     child.once("exit", resolve)
   );
   let output = "";
-  const found = await new Promise<readonly string[]>((resolve, reject) => {
-    void exited.then(() => reject(new Error(`${role} ended: ${errors}`)));
+  const captures = await new Promise<readonly string[]>((resolve, reject) => {
+    void exited.then(() => reject(new Error(`${role} exited: ${errors}`)));
     child.stdout.on("data", (data) => {
       output += String(data);
       const match = pattern.exec(output);
       if (match !== null) resolve(match.slice(1));
     });
   });
-  return { process: child, found, exited, readError: () => errors };
+  return { process: child, captures, exited, readError: () => errors };
 }
 
 async function startPlatform() {
@@ -85,7 +85,7 @@
     stepMs: 20,
   });
   const common = () => ({ scheduler, faults: faults.createFaultSwitch() });
-  const listen = { ...local, signal: abort.signal };
+  const listen = { ...loopbackAddress, signal: abort.signal };
   const [store, list, rank] = await Promise.all([
     objectApiHttp.createObjectApiHttp({ ...common(), api }).listen(listen),
     instanceListHttp.createInstanceListHttp({ ...common(), registry })
@@ -102,12 +102,12 @@
 
 function startEntryProcess(
   platform: { readonly objectStore: string; readonly instanceList: string },
-): Promise<Started> {
+): Promise<StartedProcess> {
   return startRole("entry", {
     id: "entry-1",
     half: "association",
-    address: local,
-    controlAddress: local,
+    address: loopbackAddress,
+    controlAddress: loopbackAddress,
     failureDomain: "milan_a",
     region: "lombardy",
     platform,
@@ -135,15 +135,15 @@
   }
 }
 
-test("a planned stop of entry and agent cuts no request", async () => {
+test("a planned stop of entry and agent interrupts no request", async () => {
   const { api, registry, platform, engineUrl } = await startPlatform();
   const entry = await startEntryProcess(platform);
-  const [address = "", control = ""] = entry.found;
+  const [address = "", control = ""] = entry.captures;
   const agent = await startRole("agent", {
     id: "drafting-1-0",
     group: "drafting-1",
     rank: 0,
-    address: local,
+    address: loopbackAddress,
     failureDomain: "milan_a",
     region: "lombardy",
     entries: [control],
@@ -176,7 +176,7 @@
       layers: 4,
       experts: 64,
       ranks: [{
-        agent: agent.found[0],
+        agent: agent.captures[0],
         failureDomain: "milan_a",
         region: "lombardy",
       }],
@@ -205,7 +205,7 @@
         if (listed !== undefined) return;
         entry.process.kill("SIGTERM");
         agent.process.kill("SIGTERM");
-        listed = waitForNone(address, workspace);
+        listed = waitUntilUnlisted(address, workspace);
       },
     });
     if (outcome.kind !== "refused") break;
@@ -220,8 +220,8 @@
   expect(await agent.exited).toBe(0);
 }, 60_000);
 
-/** Asks until the entry leaves itself out. */
-async function waitForNone(
+/** Polls until the entry omits itself from its address answers. */
+async function waitUntilUnlisted(
   address: string,
   workspace: string,
 ): Promise<readonly string[]> {
@@ -233,7 +233,7 @@
 }
 
 test(
-  "a second signal ends an entry at once and says what it cuts",
+  "a second signal ends an entry at once and reports the requests it cuts",
   async () => {
     const { platform } = await startPlatform();
     const entry = await startEntryProcess(platform);
--- a/packages/anvilhinge/src/dev/system.ts
+++ b/packages/anvilhinge/src/dev/system.ts
@@ -1,6 +1,6 @@
 /**
- * The whole system on loopback in one process and one loop: the platform's
- * stand-ins, entries of each half, and all groups of the loaded settings.
+ * The whole system on loopback, in one process on one event loop: stand-ins for
+ * the platform, the entries of each half, and all groups of the settings.
  */
 import type * as random from "@anvilhinge/coordination/random";
 import type * as assignment from "@anvilhinge/coordination/assignment";
@@ -23,10 +23,10 @@
   readonly objects: readonly objects.SettingsObject[];
   readonly scheduler: scheduler.Scheduler;
   readonly random: random.RandomSource;
-  /** Ends everything at once. */
+  /** Kills all entries and agents and closes the stand-ins when aborted. */
   readonly signal: AbortSignal;
   /**
-   * Entries that each half runs.
+   * Number of entries of each half.
    * @default 3
    */
   readonly entriesPerHalf?: number;
@@ -41,7 +41,7 @@
   readonly operators?: process.EntrySettings["operators"];
   /** @default 1000 */
   readonly addressAnswerTtlMs?: number;
-  /** Takers of the spans of all entries and agents. */
+  /** Receive the spans of all entries and agents. */
   readonly spanProcessors?: entry.EntryAdapters["spanProcessors"];
 }
 
@@ -65,27 +65,28 @@
 const defaultEntriesPerHalf = 3;
 const defaultStepMs = 20;
 const defaultTtlMs = 1_000;
-const domainCount = 3;
+const maxFailureDomains = 3;
+/** Unused: the store and the instance list are in-process adapters. */
 const localPlatform: upstreams.PlatformAddresses = {
   objectStore: "http://127.0.0.1:1",
   instanceList: "http://127.0.0.1:1",
 };
 
 function listHalves(
-  all: readonly objects.SettingsObject[],
+  settingsObjects: readonly objects.SettingsObject[],
 ): readonly names.Half[] {
-  return [...new Set(all.map((object) => object.path.half))].sort();
+  return [...new Set(settingsObjects.map((object) => object.path.half))].sort();
 }
 
 function listFailureDomains(
-  all: readonly objects.SettingsObject[],
+  settingsObjects: readonly objects.SettingsObject[],
   half: names.Half,
 ): readonly { readonly failureDomain: string; readonly region: string }[] {
-  const ranks = all.flatMap(({ path, content }) =>
+  const ranks = settingsObjects.flatMap(({ path, content }) =>
     path.half === half && content.kind === "groups" ? content.value.ranks : []
   );
   const byName = new Map(ranks.map((rank) => [rank.failureDomain, rank]));
-  return [...byName.values()].slice(0, domainCount);
+  return [...byName.values()].slice(0, maxFailureDomains);
 }
 
 function startEntries(
@@ -93,14 +94,14 @@
   adapters: entry.EntryAdapters,
 ): Promise<readonly SystemEntry[]> {
   const count = options.entriesPerHalf ?? defaultEntriesPerHalf;
-  const plans = listHalves(options.objects).flatMap((half) => {
+  const entryPlans = listHalves(options.objects).flatMap((half) => {
     const domains = listFailureDomains(options.objects, half);
     return Array.from({ length: count }, (_, index) => {
       const domain = domains[index % domains.length];
       return { half, id: `${half}-entry-${index + 1}`, domain };
     });
   });
-  return Promise.all(plans.map(async ({ half, id, domain }) => {
+  return Promise.all(entryPlans.map(async ({ half, id, domain }) => {
     const failureDomain = domain?.failureDomain ?? "local";
     const running = await entry.startEntry({
       id,
@@ -120,7 +121,7 @@
   }));
 }
 
-/** Replaces the agents' addresses in the text of a group. */
+/** Replaces the agent addresses in the settings text of a group. */
 function replaceAgents(
   text: string,
   agents: readonly { readonly address: string }[],
@@ -184,7 +185,7 @@
   };
 }
 
-/** Starts the whole system; resolves when the settings are in the store. */
+/** Starts the system; resolves when the settings are in the object store. */
 export async function startSystem(
   options: SystemOptions,
 ): Promise<RunningSystem> {
--- a/packages/anvilhinge/src/dev/system_test.ts
+++ b/packages/anvilhinge/src/dev/system_test.ts
@@ -28,7 +28,7 @@
   });
 
   async function waitForAnswer(at: string): Promise<string> {
-    for (let attempt = 0; attempt < 100; attempt += 1) {
+    for (let poll = 0; poll < 100; poll += 1) {
       const outcome = await caller.sendChat({
         address: at,
         workspace: "drafting/milan",
@@ -40,7 +40,7 @@
     return "no answer";
   }
 
-  test("a streamed answer is whole and the caller's own", async () => {
+  test("each caller receives the complete answer to its own request", async () => {
     const outcomes = await Promise.all(
       Array.from({ length: 20 }, (_, index) =>
         caller.sendChat({
@@ -57,7 +57,7 @@
     }
   });
 
-  test("an unknown workspace and an unknown model are named", async () => {
+  test("an unknown workspace and an unknown model are refused with their codes", async () => {
     const body = buildChat("agenda");
     const first = await caller.sendChat({
       address,
@@ -73,7 +73,7 @@
     expect(second).toMatchObject({ status: 400, code: "unknown_model" });
   });
 
-  test("a service call reaches the service once", async () => {
+  test("a service call is executed once", async () => {
     const response = await undici.request(
       `http://${address}/services/registry/filings`,
       {
@@ -98,14 +98,20 @@
       .toHaveLength(1);
   });
 
-  test("addresses name live entries of the half", async () => {
-    const own = running!.entries.filter((entry) => entry.half === "association")
+  test("the address answer lists the live entries of the half", async () => {
+    const expected = running!.entries.filter((entry) =>
+      entry.half === "association"
+    )
       .map((entry) => entry.address);
     let addresses: readonly string[] = [];
-    for (let poll = 0; poll < 100 && addresses.length < own.length; poll += 1) {
+    for (
+      let poll = 0;
+      poll < 100 && addresses.length < expected.length;
+      poll += 1
+    ) {
       addresses = await caller.fetchAddresses(address, "drafting/milan");
       await new Promise((resolve) => setTimeout(resolve, 50));
     }
-    expect([...addresses].sort()).toEqual([...own].sort());
+    expect([...addresses].sort()).toEqual([...expected].sort());
   });
 });
--- a/packages/anvilhinge/src/dev/tracing_test.ts
+++ b/packages/anvilhinge/src/dev/tracing_test.ts
@@ -5,7 +5,7 @@
 const traceId = "0af7651916cd43dd8448eb211c80319c";
 const callerSpanId = "b7ad6b7169203331";
 
-test("each hop of a request has its span below the one before", async () => {
+test("the span of each hop is a child of the span of the previous hop", async () => {
   const abort = new AbortController();
   const recorder = tracing.createSpanRecorder();
   const running = await playgroundSystem.startPlaygroundSystem({
@@ -29,7 +29,7 @@
   }
 
   for (let poll = 0; (await sendChat({})).kind !== "complete"; poll += 1) {
-    if (poll > 100) throw new Error("No upstream serves");
+    if (poll > 100) throw new Error("No chat was answered within 100 polls");
     await new Promise((resolve) => setTimeout(resolve, 50));
   }
   const outcome = await sendChat({
@@ -41,7 +41,7 @@
   for (let poll = 0; poll < 100 && listSpans().length < 3; poll += 1) {
     await new Promise((resolve) => setTimeout(resolve, 20));
   }
-  // Read before the stop, which empties the recorder.
+  // Read before the stop, which clears the recorder.
   const spans = listSpans();
   await running.stop();
   abort.abort();
--- a/packages/anvilhinge/src/dev/upstreams.ts
+++ b/packages/anvilhinge/src/dev/upstreams.ts
@@ -1,4 +1,4 @@
-/** Starts the engines, services and agents of one group on loopback. */
+/** Starts the stand-in and the agents of one group on loopback. */
 import type * as random from "@anvilhinge/coordination/random";
 import * as agent from "../agent/mod.ts";
 import type * as objectStore from "../ports/object_store.ts";
@@ -11,13 +11,13 @@
 import * as plainService from "../stand_ins/plain_service.ts";
 import * as plainServiceHttp from "../stand_ins/plain_service_http.ts";
 
-/** Where processes would reach the platform; unused within one process. */
+/** Platform addresses for the settings; not contacted within one process. */
 export interface PlatformAddresses {
   readonly objectStore: string;
   readonly instanceList: string;
 }
 
-/** A group that runs: its agents, its stand-in and the switch for faults. */
+/** A running group: its agents, its stand-in and the fault switches. */
 export interface RunningGroup {
   readonly name: string;
   readonly agents: readonly agent.RunningAgent[];
@@ -25,7 +25,7 @@
   readonly engine?: modelEngine.ModelEngine;
   /** Set when the group serves a plain service. */
   readonly service?: plainService.PlainService;
-  /** Faults of the stand-in of each rank. */
+  /** Fault switch of the stand-in of each rank; one for a plain service. */
   readonly faults: readonly faults.FaultSwitch[];
 }
 
@@ -48,7 +48,7 @@
 interface StandIn {
   readonly engine?: modelEngine.ModelEngine;
   readonly service?: plainService.PlainService;
-  /** Base URL of the process beside each rank's agent. */
+  /** Base URL of the stand-in that the agent of each rank fronts. */
   readonly urls: readonly string[];
   readonly faults: readonly faults.FaultSwitch[];
 }
@@ -91,7 +91,7 @@
   return { service, urls: [address.baseUrl], faults: [faultSwitch] };
 }
 
-/** Starts the group's stand-in and an agent beside each rank. */
+/** Starts the stand-in of a group and an agent for each rank. */
 export async function startGroup(options: GroupOptions): Promise<RunningGroup> {
   const { group, name } = options;
   const standIn = group.kind === "model"
