--- a/packages/anvilhinge/src/stand_ins/instance_list_http.ts
+++ b/packages/anvilhinge/src/stand_ins/instance_list_http.ts
@@ -59,14 +59,14 @@
   }
 }
 
-interface Registration {
+interface RegistrationTarget {
   readonly id: string;
   readonly registry: instanceList.InstanceRegistry;
 }
 
 function register(
   request: httpServer.HttpRequest,
-  { id, registry }: Registration,
+  { id, registry }: RegistrationTarget,
 ): httpServer.HttpAnswer {
   const json = httpServer.parseJson(request);
   if (json.kind === "invalid") return httpServer.encodeError(400, json.message);
