--- a/packages/anvilhinge/src/entry/choice/dispatch_policy.ts
+++ b/packages/anvilhinge/src/entry/choice/dispatch_policy.ts
@@ -66,7 +66,7 @@
 }
 
 const stallCheckIntervalMs = 250;
-/** Part of a body to decode; it contains the hashed part of the prompt. */
+/** Length of the decoded part of a body; covers the hashed prompt blocks. */
 const maxPrefixBytes = 16 * 1024;
 
 /** Hashes the start of a model request's prompt; returns [] for services. */
--- a/packages/anvilhinge/src/entry/choice/routed_policy.ts
+++ b/packages/anvilhinge/src/entry/choice/routed_policy.ts
@@ -150,6 +150,7 @@
       options.logger.info("Upstream health changed", { change }),
   });
   const windowSeconds = retries.windowMs / millisecondsPerSecond;
+  // Burst and minimum rate together permit `extra` retries per window.
   const budget = retryBudget.createRetryBudget({
     clock,
     share: usedBudgetShare * retries.share,
@@ -253,11 +254,11 @@
       upstreamHealth.isAvailable(listed.id)
     );
     const candidates = healthy.length > 0 ? healthy : usable;
-    const least = Math.min(
+    const leastOpen = Math.min(
       ...candidates.map((candidate) => candidate.openAttempts),
     );
     const best = candidates.filter((candidate) =>
-      candidate.openAttempts === least
+      candidate.openAttempts === leastOpen
     );
     const chosen = best[Math.floor(options.random() * best.length)];
     if (chosen === undefined) {
@@ -408,6 +409,7 @@
       for (const listed of upstreams) {
         const { id, service, address } = listed;
         pools.set(service, [...(pools.get(service) ?? []), id]);
+        // Routed upstreams have no rank, half or epoch.
         const upstream = {
           id,
           group: service,
--- a/packages/anvilhinge/src/entry/choice/slot_coordinator.ts
+++ b/packages/anvilhinge/src/entry/choice/slot_coordinator.ts
@@ -44,7 +44,7 @@
   requestSlot(request: workClient.SlotRequest): void;
   recordStart(request: work.RunningRequest): void;
   drop(key: string): void;
-  handle(message: DispatchMessage, from: string): void;
+  handle(message: DispatchMessage, senderAddress: string): void;
   describe(): readonly workHub.PoolLoad[];
 }
 
@@ -54,8 +54,8 @@
 const idleIntervalMs = 250;
 const logIntervalMs = 1_000;
 /**
- * Time for which a new hub only collects states of the entries. It assigns no
- * slots before, because it does not know which slots are in use.
+ * Time for which a new hub only collects the states of the entries. It assigns
+ * no slots before, because only these states show which slots are in use.
  */
 const hubWarmUpMs = 300;
 
@@ -87,7 +87,8 @@
   }
 
   /**
-   * Whether this entry is the hub and is warmed up; a single entry always is.
+   * Whether this entry is the hub and has warmed up. A hub without other entries
+   * needs no warm-up.
    */
   function isActiveHub(): boolean {
     if (!members.isHub()) {
@@ -167,11 +168,11 @@
       client.drop(key);
       scheduleReport();
     },
-    handle(message, from) {
+    handle(message, senderAddress) {
       if (message.kind === "decisions") {
         return emit(client.receive(message.decisions));
       }
-      addresses.set(message.state.entryId, from);
+      addresses.set(message.state.entryId, senderAddress);
       if (isActiveHub()) deliver(hub.receive(message.state));
     },
     describe: hub.describe,
--- a/packages/anvilhinge/src/entry/choice/upstreams.ts
+++ b/packages/anvilhinge/src/entry/choice/upstreams.ts
@@ -136,6 +136,7 @@
       changedPools.add(previous);
       poolOfGroup.delete(name);
     }
+    // A group with one rank gets no pool, as a pool's last member is not ejected.
     health.setPool(`group/${name}`, {
       members: spec === undefined || spec.ranks.length === 1
         ? []
--- a/packages/anvilhinge/src/entry/routing/followed_prefix.ts
+++ b/packages/anvilhinge/src/entry/routing/followed_prefix.ts
@@ -1,6 +1,6 @@
 /**
  * Follows one prefix of the object store and tracks the age of its view. The
- * view is confirmed by the store or, at a lower cost, by the status of the hub.
+ * view is confirmed by the store or, to save store calls, by the hub's status.
  */
 import type * as clock from "@anvilhinge/coordination/clock";
 import type * as random from "@anvilhinge/coordination/random";
@@ -38,6 +38,7 @@
 export interface FollowedPrefix {
   getAgeMs(): number;
   readStatus(): PrefixStatus;
+  /** Applies a status that the hub sampled after this time of `elapsed`. */
   applyHubStatus(status: PrefixStatus, sampledAfterMs: number): void;
 }
 
@@ -54,14 +55,14 @@
 /** Age of the view above which an entry requests confirmations itself. */
 const maxHubConfirmedAgeMs = 2_500;
 /**
- * Time in which the watch should deliver a change that the hub has. Afterwards
- * the watch is assumed to be broken and is replaced.
+ * Time in which the watch should deliver a change that the hub's view contains.
+ * Afterwards the watch is assumed to be broken and is replaced.
  */
 const watchLagTimeoutMs = 300;
 const checkIntervalMs = 250;
 /**
- * Window in which changes are batched, because they come in bursts. All
- * deadlines for applying a change are seconds.
+ * Window in which changes are batched, because they come in bursts. The delay
+ * is acceptable, as all deadlines for applying a change are at least seconds.
  */
 const batchWindowMs = 250;
 
@@ -75,6 +76,7 @@
   let isUnavailable = false;
   /** Highest version covered by the lists and the watch of this entry. */
   let coveredVersion = 0;
+  /** Highest object version in the view. */
   let objectVersion = 0;
   let confirmedAtMs = -Infinity;
   let behindSinceMs: number | undefined;
--- a/packages/anvilhinge/src/entry/routing/routing_view.ts
+++ b/packages/anvilhinge/src/entry/routing/routing_view.ts
@@ -70,7 +70,7 @@
 /**
  * Time after the store is reachable again for which expired records are kept.
  * Upstreams whose records expired while the store was unavailable write them
- * again within two seconds (the platform's page on discovery).
+ * again within two seconds (see the platform's page on discovery).
  */
 const expiryGraceMs = 2_200;
 
@@ -132,7 +132,7 @@
     upstreams.set(object.key, upstream);
     const hasChanged = JSON.stringify(previous) !== JSON.stringify(upstream);
     if (hasChanged) {
-      logger.info("Listed an upstream", {
+      logger.info("Upstream added or changed", {
         upstream: upstream.id,
         state: upstream.state,
         storeVersion: object.version,
--- a/packages/coordination/src/admission.ts
+++ b/packages/coordination/src/admission.ts
@@ -48,7 +48,7 @@
 const minRetryMs = 200;
 const maxRetryMs = 30_000;
 
-/** Creates an admission control; admits all requests until a rate is known. */
+/** Creates an admission control; without a rate estimate, it admits all. */
 export function createAdmission(options: AdmissionOptions): Admission {
   const { clock } = options;
   const safetyFactor = options.safetyFactor ?? defaultSafetyFactor;
@@ -68,6 +68,7 @@
     decayedAtMs = clock.now();
   }
 
+  /** Returns the mean interval between ended requests; 0 if unknown. */
   function computeEndIntervalMs(): number {
     updateRate();
     if (endCount < minEnds || decayedEnds === 0) return 0;
@@ -90,6 +91,7 @@
       const endIntervalMs = computeEndIntervalMs();
       const ahead = Math.max(0, countAhead(priority) - load.running);
       const waitMs = ahead * endIntervalMs;
+      // Little's law: the mean duration of a running request.
       const workMs = load.running * endIntervalMs;
       const spareMs = deadlineMs * safetyFactor - waitMs - workMs;
       if (spareMs >= 0) return { kind: "admitted" };
--- a/packages/coordination/src/choice.ts
+++ b/packages/coordination/src/choice.ts
@@ -1,12 +1,12 @@
 /**
- * Upstream selection at one node. A pool holds the upstreams that serve one
- * model or service; the node uses a subset of it, nearest upstreams first. The
- * node prefers an upstream that probably caches the prompt's prefix, as long as
- * the expected wait there is within a bound. Otherwise it samples two upstreams
- * of the subset and takes the one with the shorter expected wait (power of two
- * choices). The expected wait is the lag-compensated load times the step time
- * of the upstream's group. No request scans all upstreams: pools are indexed by
- * name and candidates are sampled.
+ * Upstream selection at one node, such as an entry. A pool holds the upstreams
+ * that serve one model or service; the node uses a subset of it, nearest
+ * upstreams first. The node prefers an upstream that probably caches the
+ * prompt's prefix, as long as the expected wait there is within a bound.
+ * Otherwise it samples two upstreams of the subset and takes the one with the
+ * shorter expected wait (power of two choices). The expected wait is the
+ * lag-compensated load times the step time of the upstream's group. No request
+ * scans all upstreams: pools are indexed by name and candidates are sampled.
  * Sources: Mitzenmacher, "The power of two choices in randomized load
  * balancing", 2001; Mirrokni, Thorup and Zadimoghaddam, "Consistent hashing
  * with bounded loads", 2018.
@@ -33,7 +33,7 @@
   }
   /** The pool has no upstreams. */
   | { readonly kind: "unserved" }
-  /** Every upstream is unavailable or was attempted by this request. */
+  /** Every upstream is unavailable or already had an attempt of this request. */
   | { readonly kind: "exhausted" }
   /** The queue wait of every upstream in the subset exceeds the time left. */
   | { readonly kind: "overloaded"; readonly waitMs: number };
@@ -86,7 +86,7 @@
   readonly random: random.RandomSource;
   /** Whether an upstream may receive requests. Default: always true. */
   readonly isAvailable?: (upstreamId: string) => boolean;
-  /** Factor on the expected wait of an unreliable upstream. Default: 1. */
+  /** Factor on the expected wait, above 1 after failures. Default: 1. */
   readonly computePenalty?: (upstreamId: string) => number;
   /**
    * Number of pool members that the node uses at low load.
@@ -130,11 +130,11 @@
 interface PoolState<T> {
   readonly pool: upstreamPool.Pool<T>;
   /** Moving average of the reported loads. */
-  meanReported: number;
+  meanReportedLoad: number;
   /** Moving average of the expected wait at sampled upstreams. */
   meanWaitUs: number;
-  /** Moving average of the duration of completed attempts. */
-  serviceMs: number;
+  /** Moving average of the duration of attempts that were not queued. */
+  meanServiceMs: number;
 }
 
 const defaultMinSubsetSize = 16;
@@ -145,6 +145,7 @@
 const reportHalfLifeMs = 5_000;
 /** Weight of a new value in each moving average. */
 const averageWeight = 0.02;
+/** Number of members of the hash ring that affinity considers per request. */
 const ringCandidateCount = 4;
 
 function updateMean(mean: number, value: number): number {
@@ -177,7 +178,7 @@
   function readEstimateOptions(
     tracked: TrackedUpstream<T>,
   ): loadEstimate.EstimateOptions {
-    const typicalLoad = pools.get(tracked.poolName)?.meanReported ?? 0;
+    const typicalLoad = pools.get(tracked.poolName)?.meanReportedLoad ?? 0;
     return { ...readLoadOptions(), typicalLoad };
   }
 
@@ -227,13 +228,13 @@
       tracked.load,
       readEstimateOptions(tracked),
     );
-    return queued * state.serviceMs / Math.max(1, tracked.load.running);
+    return queued * state.meanServiceMs / Math.max(1, tracked.load.running);
   }
 
   function chooseByAffinity(
     poolName: string,
     state: PoolState<T>,
-    { isUsable, prefixKeys = [], leftMs = Infinity }: Candidates<T>,
+    { isUsable, prefixKeys = [], leftMs = Infinity }: SelectionCriteria<T>,
   ): T | undefined {
     const firstKey = prefixKeys[0];
     if (firstKey === undefined) return undefined;
@@ -247,10 +248,10 @@
     );
   }
 
-  /** Scans the subset; used only if the sampled queue wait is too long. */
+  /** Scans the subset; used only if the sampled wait exceeds the time left. */
   function chooseShortestQueue(
     state: PoolState<T>,
-    { isUsable, leftMs = Infinity }: Candidates<T>,
+    { isUsable, leftMs = Infinity }: SelectionCriteria<T>,
   ): ChoiceOutcome<T> {
     let best: T | undefined;
     let bestMs = Infinity;
@@ -269,20 +270,20 @@
 
   function chooseByLoad(
     state: PoolState<T>,
-    candidates: Candidates<T>,
+    criteria: SelectionCriteria<T>,
   ): ChoiceOutcome<T> {
-    const first = state.pool.pick(candidates.isUsable);
-    const second = state.pool.pick(candidates.isUsable);
+    const first = state.pool.pick(criteria.isUsable);
+    const second = state.pool.pick(criteria.isUsable);
     if (first === undefined || second === undefined) {
       return { kind: "exhausted" };
     }
     const firstUs = sampleWaitUs(state, first);
     const secondUs = sampleWaitUs(state, second);
     const upstream = secondUs < firstUs ? second : first;
-    const leftMs = candidates.leftMs ?? Infinity;
+    const leftMs = criteria.leftMs ?? Infinity;
     return estimateQueueWaitMs(state, upstream) <= leftMs
       ? { kind: "chosen", upstream, by: "load" }
-      : chooseShortestQueue(state, candidates);
+      : chooseShortestQueue(state, criteria);
   }
 
   function recordReport(
@@ -300,7 +301,7 @@
     const state = pools.get(tracked.poolName);
     if (state === undefined) return;
     const total = report.running + report.queued;
-    state.meanReported += averageWeight * (total - state.meanReported);
+    state.meanReportedLoad += averageWeight * (total - state.meanReportedLoad);
   }
 
   function removeDepartedMembers(
@@ -340,24 +341,24 @@
       const previous = pools.get(poolName);
       pools.set(poolName, {
         pool,
-        meanReported: previous?.meanReported ?? 0,
+        meanReportedLoad: previous?.meanReportedLoad ?? 0,
         meanWaitUs: previous?.meanWaitUs ?? 0,
-        serviceMs: previous?.serviceMs ?? 0,
+        meanServiceMs: previous?.meanServiceMs ?? 0,
       });
     },
     choose(poolName, { tried, prefixKeys, leftMs }) {
       const state = pools.get(poolName);
       if (state === undefined) return { kind: "unserved" };
       state.pool.resize(clock.now(), (member) => isAvailable(member.id));
-      const candidates = {
+      const criteria = {
         prefixKeys,
         leftMs,
         isUsable: (upstream: T) =>
           !tried.has(upstream.id) && isAvailable(upstream.id),
       };
-      const preferred = chooseByAffinity(poolName, state, candidates);
+      const preferred = chooseByAffinity(poolName, state, criteria);
       return preferred === undefined
-        ? chooseByLoad(state, candidates)
+        ? chooseByLoad(state, criteria)
         : { kind: "chosen", upstream: preferred, by: "affinity" };
     },
     recordSent(upstreamId) {
@@ -379,7 +380,10 @@
       // Time spent in a queue is not service time.
       const isMeasured = sentAtMs !== undefined && !hadQueue;
       if (state === undefined || !isMeasured) return;
-      state.serviceMs = updateMean(state.serviceMs, clock.now() - sentAtMs);
+      state.meanServiceMs = updateMean(
+        state.meanServiceMs,
+        clock.now() - sentAtMs,
+      );
     },
     recordReport,
     recordCacheEvent({ kind, upstreamId, keys }) {
@@ -394,7 +398,7 @@
   };
 }
 
-interface Candidates<T> {
+interface SelectionCriteria<T> {
   readonly isUsable: upstreamPool.IsUsable<T>;
   readonly prefixKeys?: readonly number[];
   readonly leftMs?: number;
--- a/packages/coordination/src/clock.ts
+++ b/packages/coordination/src/clock.ts
@@ -1,6 +1,6 @@
 /**
- * Clock of the state machines. All timestamps are milliseconds on a monotonic
- * scale whose zero is arbitrary but fixed for one process.
+ * Clock of this package's state machines. All timestamps are milliseconds on a
+ * monotonic scale whose zero is arbitrary but fixed for one process.
  */
 
 /** Source of the current time. */
--- a/packages/coordination/src/dispatch/work.ts
+++ b/packages/coordination/src/dispatch/work.ts
@@ -59,7 +59,7 @@
   readonly upstreamId: string;
 }
 
-/** Refusal of a request that would not get a slot in time; it did not run. */
+/** Refusal of a request that did not run and would not get a slot in time. */
 export interface Denial {
   readonly key: string;
   readonly retryAfterMs: number;
--- a/packages/coordination/src/dispatch/work_client.ts
+++ b/packages/coordination/src/dispatch/work_client.ts
@@ -75,6 +75,7 @@
 
 const defaultHubTimeoutMs = 80;
 const defaultMaxWaitMs = 1_500;
+/** Minimum retry delay after a refusal by this entry instead of the hub. */
 const minShareRetryMs = 300;
 /** Minimum number of gaps for a median. */
 const minGaps = 3;
--- a/packages/coordination/src/dispatch/work_hub.ts
+++ b/packages/coordination/src/dispatch/work_hub.ts
@@ -8,8 +8,9 @@
  *   a pool wait at the hub, as they could not be ordered at an upstream.
  * - The number of running requests in a pool is limited, so that a forward pass
  *   stays below its target duration. The limit is computed from the highest
- *   recent cost per request. All streams of a group wait for its passes, so a
- *   single excess request makes all of them late.
+ *   recent cost per request, which is the pass time that each running request
+ *   adds. All streams of a group wait for its passes, so a single excess
+ *   request makes all of them late.
  * - Requests that can still meet their target time for the first event precede
  *   those that cannot. Within both, the order is by priority, then by fewest
  *   slots of the workspace, then by age.
@@ -71,8 +72,9 @@
 interface QueuedRequest extends work.WaitingRequest {
   readonly entryId: string;
   readonly arrivedAtMs: number;
+  /** Target time of the first event. */
   readonly aimAtMs: number;
-  readonly giveUpAtMs: number;
+  readonly abandonAtMs: number;
 }
 
 interface EntryState {
@@ -96,7 +98,7 @@
 interface PoolState {
   readonly upstreams: work.UpstreamSpec[];
   readonly spec: work.PoolSpec | undefined;
-  /** Highest recent pass duration per request, and when it was measured. */
+  /** Highest recent cost per running request, and when it was measured. */
   maxCostMs: number;
   maxCostAtMs: number;
   /** Time since which all reported passes were too long. */
@@ -113,15 +115,19 @@
 const defaultStateTtlMs = 1_500;
 /** Time after which an unacknowledged grant is assumed lost. */
 const grantTimeoutMs = 400;
-const rateIntervalMs = 500;
+const rateUpdateIntervalMs = 500;
+/** Weight of a new value in the rate at which slots become free. */
 const rateWeight = 0.3;
-/** Half-life of the highest cost, because demand may shift again. */
+/** Half-life of the highest cost; it decays because demand may shift again. */
 const costHalfLifeMs = 10_000;
 /** Share of used slots below which the cost per request cannot be measured. */
 const minSampleShare = 0.2;
 /** Minimum limit of a pool, as a share of its slots. */
 const minLimitShare = 0.65;
-/** Passes over the target by this factor may include a switch round's wait. */
+/**
+ * Passes longer than the target by this factor may include the wait of a switch
+ * round, in which the group changes to another expert map.
+ */
 const maxPassOverTarget = 1.25;
 /** Time after which such passes are attributed to a slow rank. */
 const longPassesMs = 1_000;
@@ -189,7 +195,7 @@
     return pool.maxCostMs * 2 ** (-ageMs / costHalfLifeMs);
   }
 
-  /** Returns whether a pass reflects request cost rather than a wait. */
+  /** Returns whether a pass reflects cost rather than a switch round's wait. */
   function isCostSample(pool: PoolState, { passMs, spec }: {
     readonly passMs: number;
     readonly spec: work.PoolSpec;
@@ -211,7 +217,7 @@
     if (!isCostSample(pool, { passMs, spec })) return;
     const running = countUsedSlots(pool);
     if (running < minSampleShare * countSlots(pool)) return;
-    // A higher cost would not lower the limit, but only prolong it.
+    // A cost above this cap would not lower the limit, only delay its recovery.
     const costCap = (spec.targetPassMs - spec.basePassMs) /
       (minLimitShare * countSlots(pool));
     const measured = Math.max(0, passMs - spec.basePassMs) / running;
@@ -294,7 +300,7 @@
   function updateRate(pool: PoolState): void {
     const nowMs = clock.now();
     const elapsedMs = nowMs - pool.rateUpdatedAtMs;
-    if (elapsedMs < rateIntervalMs) return;
+    if (elapsedMs < rateUpdateIntervalMs) return;
     const rate = pool.freedSlots * millisecondsPerSecond / elapsedMs;
     pool.freedPerSecond = pool.freedPerSecond === 0
       ? rate
@@ -331,7 +337,7 @@
    * rate at which slots become free. Requests still in the queue got no slot:
    * the limit is reached, or the request avoids all upstreams with free slots.
    */
-  function refuseLate(poolName: string, pool: PoolState): void {
+  function refuseLongWaits(poolName: string, pool: PoolState): void {
     const queue = listQueue(poolName);
     const nowMs = clock.now();
     queue.forEach((request, index) => {
@@ -339,9 +345,9 @@
         ? 0
         : (index + 1) * millisecondsPerSecond / pool.freedPerSecond;
       const waitedMs = nowMs - request.arrivedAtMs;
-      const isLate = waitedMs + predictedWaitMs > maxWaitMs ||
-        nowMs + predictedWaitMs > request.giveUpAtMs;
-      if (!isLate) return;
+      const isTooLong = waitedMs + predictedWaitMs > maxWaitMs ||
+        nowMs + predictedWaitMs > request.abandonAtMs;
+      if (!isTooLong) return;
       const entry = entries.get(request.entryId);
       entry?.queued.delete(request.key);
       entry?.denials.set(request.key, {
@@ -373,7 +379,7 @@
     for (const [name, pool] of pools) {
       updateRate(pool);
       grantSlots(name, pool);
-      refuseLate(name, pool);
+      refuseLongWaits(name, pool);
     }
     const decided = new Map<string, work.Decisions>();
     for (const [id, entry] of entries) {
@@ -431,7 +437,7 @@
         entryId: state.entryId,
         arrivedAtMs: existing?.arrivedAtMs ?? nowMs - request.ageMs,
         aimAtMs: existing?.aimAtMs ?? nowMs + request.aimLeftMs,
-        giveUpAtMs: existing?.giveUpAtMs ?? nowMs + request.leftMs,
+        abandonAtMs: existing?.abandonAtMs ?? nowMs + request.leftMs,
       });
     }
   }
--- a/packages/coordination/src/health.ts
+++ b/packages/coordination/src/health.ts
@@ -1,14 +1,18 @@
 /**
  * Outlier ejection of upstreams at one node. An outlier is ejected for a period
  * that doubles with each ejection. Afterwards it is half-open: one request at a
- * time probes it, and a completed probe restores it. Each pool caps the share
- * of its members that may be ejected. The last available member of a pool is
- * never ejected, whether the pool stands for a model or for a group.
+ * time probes it, and a completed probe restores it. A pool holds the upstreams
+ * of one model or service, or the ranks of one group. It caps the share of its
+ * members that may be ejected, and its last available member is never ejected.
  */
 import type * as clock from "./clock.ts";
 import type * as random from "./random.ts";
 
-/** How an attempt ended; a `refused` attempt shows that the upstream is up. */
+/**
+ * How an attempt ended. `refused` shows that the upstream is up, `failed` is a
+ * failure that the upstream reported, and `lost` is an attempt without an end:
+ * the connection failed, or the upstream stalled or discarded the answer.
+ */
 export type AttemptOutcome = "completed" | "refused" | "failed" | "lost";
 
 /** A set of upstreams that limits how many of them may be ejected. */
@@ -65,6 +69,7 @@
 export interface Health {
   /** Replaces a pool; a pool without members is removed. */
   setPool(name: string, pool: HealthPool): void;
+  /** Whether the upstream is healthy, or half-open without an open probe. */
   isAvailable(upstreamId: string): boolean;
   /** Factor on the expected wait: 1 plus the number of consecutive failures. */
   computePenalty(upstreamId: string): number;
@@ -95,9 +100,11 @@
   maxEjectionMs: 60_000,
   probeTimeoutMs: 10_000,
 };
+/** Weight of a new outcome in the moving average of the failure share. */
 const outcomeWeight = 0.15;
+/** Minimum number of outcomes before the failure share can eject an upstream. */
 const minOutcomes = 10;
-/** Maximum jitter of an ejection, so that probes do not coincide. */
+/** Maximum jitter as a share of an ejection, so that probes do not coincide. */
 const jitterShare = 0.2;
 
 /** Creates a health table in which all upstreams are healthy. */
@@ -179,6 +186,7 @@
     tracked.failureShare *= 1 - outcomeWeight;
     tracked.outcomeCount += 1;
     if (tracked.ejectedUntilMs === undefined) {
+      // Restarts the doubling of the ejection once failures have become rare.
       if (tracked.failureShare < outcomeWeight) tracked.ejectionCount = 0;
       return;
     }
@@ -218,7 +226,7 @@
     pools.delete(name);
   }
 
-  function removeWithoutPool(members: readonly string[]): void {
+  function removeUnpooled(members: readonly string[]): void {
     for (const member of members) {
       if (!poolNames.has(member)) upstreams.delete(member);
     }
@@ -233,7 +241,7 @@
         const names = poolNames.get(member) ?? new Set();
         poolNames.set(member, names.add(name));
       }
-      removeWithoutPool(previous);
+      removeUnpooled(previous);
     },
     isAvailable(upstreamId) {
       const tracked = upstreams.get(upstreamId);
@@ -253,6 +261,7 @@
           return recordSuccess(upstreamId);
         case "refused": {
           const tracked = upstreams.get(upstreamId);
+          // A refused probe is inconclusive; another request may probe.
           if (tracked !== undefined) tracked.probeSentAtMs = undefined;
           return;
         }
--- a/packages/coordination/src/limits.ts
+++ b/packages/coordination/src/limits.ts
@@ -54,7 +54,11 @@
   admit(): AdmitOutcome;
   /** Must be called once per admitted request, when it ends. */
   release(): void;
-  /** Must be called just before the shares rise; they may fall at any time. */
+  /**
+   * Fills the buckets at the current shares. Must be called just before the
+   * shares rise; otherwise the time since the last call is credited at the
+   * higher rate. The shares may fall at any time.
+   */
   update(): void;
   /** Counts tokens that were generated. */
   recordTokens(count: number): void;
--- a/packages/coordination/src/load_estimate.ts
+++ b/packages/coordination/src/load_estimate.ts
@@ -68,6 +68,7 @@
   load.openSentAtMs.push(nowMs);
 }
 
+/** Removes an open attempt; returns its dispatch time, -Infinity if none. */
 function removeOpen(load: Load, sentAtMs: number | undefined): number {
   const open = load.openSentAtMs;
   const index = sentAtMs === undefined ? 0 : open.indexOf(sentAtMs);
@@ -116,7 +117,7 @@
   load.measuredAtMs = measuredAtMs;
 }
 
-function countSinceReport(load: Load): number {
+function countSentSinceReport(load: Load): number {
   const open = load.openSentAtMs;
   let first = open.length;
   while (first > 0 && (open[first - 1] as number) > load.measuredAtMs) {
@@ -133,12 +134,12 @@
 /** Estimates the number of requests at the upstream at `nowMs`. */
 export function estimateLoad(load: Load, options: EstimateOptions): number {
   const { typicalLoad } = options;
-  const sinceReport = countSinceReport(load);
-  const beforeReport = load.openSentAtMs.length - sinceReport;
+  const sentSinceReport = countSentSinceReport(load);
+  const sentBeforeReport = load.openSentAtMs.length - sentSinceReport;
   const ageMs = options.nowMs - load.reportedAtMs;
   const decay = computeDecay(ageMs, options.halfLifeMs);
   const estimated = typicalLoad + (load.reported - typicalLoad) * decay;
-  return Math.max(estimated, beforeReport) + sinceReport;
+  return Math.max(estimated, sentBeforeReport) + sentSinceReport;
 }
 
 /** Estimates the number of requests queued at the upstream. */
--- a/packages/coordination/src/prefix_affinity.ts
+++ b/packages/coordination/src/prefix_affinity.ts
@@ -22,6 +22,7 @@
 
 const defaultBlockLength = 256;
 const defaultMaxBlocks = 16;
+/** Number of points of a member on the hash ring. */
 const defaultPointsPerMember = 8;
 const defaultMaxHints = 20_000;
 
--- a/packages/coordination/src/progress_watch.ts
+++ b/packages/coordination/src/progress_watch.ts
@@ -27,7 +27,7 @@
 }
 
 export interface ProgressWatch {
-  /** Records that an attempt was dispatched to the upstream of a pool. */
+  /** Records that an attempt was dispatched to an upstream of the pool. */
   start(upstreamId: string, poolName: string): void;
   /** Records a frame of any attempt at the upstream. */
   recordProgress(upstreamId: string): void;
--- a/packages/coordination/src/share_allocator.ts
+++ b/packages/coordination/src/share_allocator.ts
@@ -75,14 +75,19 @@
 }
 
 interface Reservation {
-  /** Upper bound of the sequence of the grant that this reservation covers. */
+  /**
+   * Sequence of the reserved grant; an upper bound of it for a held share. The
+   * reservation is removed when the entry acknowledges a grant with a higher
+   * sequence.
+   */
   readonly sequence: number;
   readonly share: number;
   readonly untilMs: number;
 }
 
 interface EntryState {
-  sequence: number;
+  /** Sequence of the last answered request. */
+  lastSequence: number;
   /** Whether the entry has adopted a grant of this term. */
   hasAcknowledged: boolean;
   reservations: Reservation[];
@@ -139,8 +144,11 @@
     return hasPredecessor && clock.now() - startedAtMs < leaseMs + marginMs;
   }
 
-  /** Sums the fixed shares that entries without an acknowledgement may use. */
-  function sumUnseenReserved(): number {
+  /**
+   * Sums the fixed shares that the previous allocator may have granted to
+   * entries that have not acknowledged a grant of this term.
+   */
+  function sumUnacknowledgedFixed(): number {
     const ageMs = clock.now() - startedAtMs;
     if (!hasPredecessor || ageMs >= fixedLeaseMs + marginMs) return 0;
     const acknowledged = [...entries.values()].filter((entry) =>
@@ -157,7 +165,7 @@
     return sum;
   }
 
-  /** Computes the fixed share plus a part of the remainder by demand. */
+  /** Computes the fixed share plus a part of the remainder, by demand. */
   function computeTarget(requester: EntryState): number {
     const nowMs = clock.now();
     const active = [...entries.values()].filter((entry) =>
@@ -173,7 +181,7 @@
     const existing = entries.get(request.entryId);
     if (existing !== undefined) return existing;
     const entry: EntryState = {
-      sequence: 0,
+      lastSequence: 0,
       hasAcknowledged: false,
       reservations: [],
       fixedShare: 0,
@@ -227,7 +235,7 @@
     // The share already reserved for the requester may be granted again.
     const available = Math.max(
       computeReserved(requester),
-      1 - others - sumUnseenReserved(),
+      1 - others - sumUnacknowledgedFixed(),
     );
     const wanted = Math.max(computeTarget(requester), request.inUse);
     return Math.max(0, Math.min(wanted, available));
@@ -237,13 +245,13 @@
     answer(request) {
       removeExpired();
       const entry = getOrCreateEntry(request);
-      if (request.sequence <= entry.sequence) return undefined;
+      if (request.sequence <= entry.lastSequence) return undefined;
       acknowledge(entry, request);
       entry.demand = request.demand;
       entry.demandUntilMs = clock.now() + leaseMs;
       const share = computeGrant(entry, request);
       recordGrant(entry, request, share);
-      entry.sequence = request.sequence;
+      entry.lastSequence = request.sequence;
       return { term: options.term, sequence: request.sequence, share };
     },
     sumReserved() {
--- a/packages/coordination/src/share_client.ts
+++ b/packages/coordination/src/share_client.ts
@@ -22,7 +22,10 @@
 }
 
 export interface ShareClient {
-  /** Creates the next request; it must be sent at once or not at all. */
+  /**
+   * Creates the next request. It must be sent at once or not at all, because it
+   * reports the share in force now.
+   */
   createRequest(use: ShareUse): shareAllocator.ShareRequest;
   /** Adopts a grant unless a newer grant has already been adopted. */
   receive(grant: shareAllocator.ShareGrant): void;
--- a/packages/coordination/src/step_times.ts
+++ b/packages/coordination/src/step_times.ts
@@ -31,8 +31,11 @@
 }
 
 const defaultHalfLifeMs = 10_000;
+/** Weight of a new report in the step time of its group. */
 const newestWeight = 0.3;
+/** Weight of a new report in the mean of all groups. */
 const meanWeight = 0.02;
+/** Step time of all groups before the first report. */
 const unknownStepUs = 1;
 
 /** Creates an empty table; initially all groups have an equal step time. */
--- a/packages/coordination/src/upstream_pool.ts
+++ b/packages/coordination/src/upstream_pool.ts
@@ -37,9 +37,11 @@
 }
 
 const resizeIntervalMs = 1_000;
+/** Weight of a new sample in the mean load. */
 const sampleWeight = 0.02;
 /** The subset shrinks below this fraction of the growth threshold. */
 const shrinkFactor = 0.25;
+/** Maximum number of random picks before the members are scanned. */
 const maxSamples = 8;
 
 /** Creates a pool of ordered members; there must be at least one member. */
