--- a/packages/anvilhinge/src/entry/choice/dispatch_policy.ts
+++ b/packages/anvilhinge/src/entry/choice/dispatch_policy.ts
@@ -164,7 +164,7 @@
         onFrame(frame) {
           if (current !== undefined) watch.recordProgress(current.upstreamId);
           const { body } = frame;
-          // Only the agent is up, not its engine: the attempt counts as failed.
+          // Counts the refusal as a failure: the agent is up, its engine is not.
           isEngineDown = body.kind === "refused" &&
             body.reason === "engine_unavailable";
           if (isWatched && frame.body.kind === "chunk") {
--- a/packages/anvilhinge/src/entry/choice/slot_coordinator.ts
+++ b/packages/anvilhinge/src/entry/choice/slot_coordinator.ts
@@ -87,8 +87,8 @@
   }
 
   /**
-   * Whether this entry is the hub and has warmed up. A hub without other entries
-   * needs no warm-up.
+   * Whether this entry is the hub and has warmed up. A hub without other
+   * entries needs no warm-up.
    */
   function isActiveHub(): boolean {
     if (!members.isHub()) {
--- a/packages/anvilhinge/src/entry/choice/upstreams.ts
+++ b/packages/anvilhinge/src/entry/choice/upstreams.ts
@@ -136,7 +136,8 @@
       changedPools.add(previous);
       poolOfGroup.delete(name);
     }
-    // A group with one rank gets no pool, as a pool's last member is not ejected.
+    // The last member of a pool is never ejected, so that a group with a single
+    // rank has no pool.
     health.setPool(`group/${name}`, {
       members: spec === undefined || spec.ranks.length === 1
         ? []
--- a/packages/coordination/src/choice.ts
+++ b/packages/coordination/src/choice.ts
@@ -33,7 +33,7 @@
   }
   /** The pool has no upstreams. */
   | { readonly kind: "unserved" }
-  /** Every upstream is unavailable or already had an attempt of this request. */
+  /** Every upstream is unavailable or already received this request. */
   | { readonly kind: "exhausted" }
   /** The queue wait of every upstream in the subset exceeds the time left. */
   | { readonly kind: "overloaded"; readonly waitMs: number };
--- a/packages/coordination/src/health.ts
+++ b/packages/coordination/src/health.ts
@@ -102,7 +102,7 @@
 };
 /** Weight of a new outcome in the moving average of the failure share. */
 const outcomeWeight = 0.15;
-/** Minimum number of outcomes before the failure share can eject an upstream. */
+/** Minimum number of outcomes for an ejection by failure share. */
 const minOutcomes = 10;
 /** Maximum jitter as a share of an ejection, so that probes do not coincide. */
 const jitterShare = 0.2;
@@ -190,7 +190,8 @@
       if (tracked.failureShare < outcomeWeight) tracked.ejectionCount = 0;
       return;
     }
-    // An attempt dispatched before the ejection is not a probe.
+    // An attempt dispatched before the ejection is not a probe: its outcome
+    // does not show the state after the ejection.
     if (!isEjected(tracked) && tracked.probeSentAtMs !== undefined) {
       restore(upstreamId, tracked);
     }
--- a/packages/coordination/src/rendezvous.ts
+++ b/packages/coordination/src/rendezvous.ts
@@ -1,8 +1,8 @@
 /**
  * Weighted rendezvous hashing (highest random weight): all nodes compute an
  * identical ranking of members for a key. If a member leaves, only the keys
- * that were mapped to it move. Source: Thaler and Ravishankar, "Using name-based
- * mappings to increase hit rates", 1998.
+ * that were mapped to it move. Source: Thaler and Ravishankar, "Using
+ * name-based mappings to increase hit rates", 1998.
  */
 import murmurhash from "murmurhash";
 
--- a/packages/coordination/src/share_allocator.ts
+++ b/packages/coordination/src/share_allocator.ts
@@ -165,7 +165,7 @@
     return sum;
   }
 
-  /** Computes the fixed share plus a part of the remainder, by demand. */
+  /** Computes the fixed share plus a demand-weighted part of the remainder. */
   function computeTarget(requester: EntryState): number {
     const nowMs = clock.now();
     const active = [...entries.values()].filter((entry) =>
