--- a/packages/anvilhinge/src/entry/choice/dispatch_policy.ts
+++ b/packages/anvilhinge/src/entry/choice/dispatch_policy.ts
@@ -66,7 +66,7 @@
 }
 
 const stallCheckIntervalMs = 250;
-/** Part of a body to decode; it contains the hashed part of the prompt. */
+/** Length of the decoded part of a body; covers the hashed prompt blocks. */
 const maxPrefixBytes = 16 * 1024;
 
 /** Hashes the start of a model request's prompt; returns [] for services. */
@@ -164,7 +164,7 @@
         onFrame(frame) {
           if (current !== undefined) watch.recordProgress(current.upstreamId);
           const { body } = frame;
-          // Only the agent is up, not its engine: the attempt counts as failed.
+          // Counts the refusal as a failure: the agent is up, its engine is not.
           isEngineDown = body.kind === "refused" &&
             body.reason === "engine_unavailable";
           if (isWatched && frame.body.kind === "chunk") {
