--- a/packages/anvilhinge/src/agent/ranks/rank_agent_test.ts
+++ b/packages/anvilhinge/src/agent/ranks/rank_agent_test.ts
@@ -1,12 +1,12 @@
 import * as randomSource from "@anvilhinge/coordination/random";
-import * as rankWorld from "../../testing/rank_world.ts";
+import * as rankGroupHarness from "../../testing/rank_group_harness.ts";
 
 const rankCount = 8;
 
 /** Advances the time until a condition holds; false when the limit is hit. */
 async function advanceUntil(
   isConditionMet: () => boolean,
-  harness: rankWorld.RankWorld,
+  harness: rankGroupHarness.RankGroupHarness,
   limitMs: number,
 ): Promise<boolean> {
   const startMs = harness.scheduler.now();
@@ -17,70 +17,70 @@
 }
 
 function advanceToHold(
-  harness: rankWorld.RankWorld,
+  harness: rankGroupHarness.RankGroupHarness,
   limitMs: number,
 ): Promise<boolean> {
-  return advanceUntil(() => harness.isHeld(), harness, limitMs);
+  return advanceUntil(() => harness.isPassHeld(), harness, limitMs);
 }
 
-function expectSingleMap(harness: rankWorld.RankWorld): void {
+function expectSingleMap(harness: rankGroupHarness.RankGroupHarness): void {
   expect(harness.getViolation()).toBeUndefined();
   const versions = Array.from(
     { length: rankCount },
-    (_, rank) => harness.getVersion(rank),
+    (_, rank) => harness.getMapVersion(rank),
   );
   expect(new Set(versions).size).toBe(1);
 }
 
 describe("agents of one group", () => {
   it("switch the map after the demand has shifted", async () => {
-    const harness = rankWorld.createRankWorld({ rankCount });
+    const harness = rankGroupHarness.createRankGroupHarness({ rankCount });
     await harness.scheduler.advanceAsync(3_000);
-    expect(harness.getVersion(0)).toBeGreaterThan(1);
-    const before = harness.getVersion(0);
+    expect(harness.getMapVersion(0)).toBeGreaterThan(1);
+    const before = harness.getMapVersion(0);
     harness.shiftDemand();
     await harness.scheduler.advanceAsync(2_000);
-    expect(harness.getVersion(0)).toBeGreaterThan(before);
+    expect(harness.getMapVersion(0)).toBeGreaterThan(before);
     expectSingleMap(harness);
     // Only the hold order of each switch goes to another machine's engine.
-    const switches = harness.logged.filter((line) =>
+    const switches = harness.logMessages.filter((line) =>
       line === "Switched the map"
     );
-    expect(harness.countDistantOrders()).toBe(switches.length);
+    expect(harness.countRemoteOrders()).toBe(switches.length);
   });
 
   it("resume soon after the leader freezes while a pass is held", async () => {
-    const harness = rankWorld.createRankWorld({ rankCount });
+    const harness = rankGroupHarness.createRankGroupHarness({ rankCount });
     expect(await advanceToHold(harness, 5_000)).toBe(true);
-    harness.freeze(0);
+    harness.pauseAgent(0);
     await harness.scheduler.advanceAsync(2_500);
-    expect(harness.isHeld()).toBe(false);
+    expect(harness.isPassHeld()).toBe(false);
     // Leader timeout, first read of all ranks, two reads of lagging reports.
     expect(harness.takeLongestStall()).toBeLessThan(1_800);
     expectSingleMap(harness);
-    harness.thaw(0);
+    harness.resumeAgent(0);
     await harness.scheduler.advanceAsync(4_000);
     harness.takeLongestStall();
     harness.shiftDemand();
-    const before = harness.getVersion(0);
+    const before = harness.getMapVersion(0);
     await harness.scheduler.advanceAsync(2_000);
-    expect(harness.getVersion(0)).toBeGreaterThan(before);
+    expect(harness.getMapVersion(0)).toBeGreaterThan(before);
     expect(harness.takeLongestStall()).toBeLessThan(400);
     expectSingleMap(harness);
   });
 
   it("resume soon after the machine that ordered a hold stops", async () => {
-    const harness = rankWorld.createRankWorld({ rankCount });
+    const harness = rankGroupHarness.createRankGroupHarness({ rankCount });
     const isNextRankArmed = () => harness.isArmed(1);
     expect(await advanceUntil(isNextRankArmed, harness, 5_000)).toBe(true);
     harness.stopMachine(0);
     await harness.scheduler.advanceAsync(2_500);
-    expect(harness.isHeld()).toBe(false);
+    expect(harness.isPassHeld()).toBe(false);
     expect(harness.takeLongestStall()).toBeLessThan(1_200);
     expectSingleMap(harness);
-    harness.thaw(0);
+    harness.resumeAgent(0);
     await harness.scheduler.advanceAsync(3_000);
-    expect(harness.isHeld()).toBe(false);
+    expect(harness.isPassHeld()).toBe(false);
     expectSingleMap(harness);
   });
 
@@ -90,24 +90,24 @@
   ])(
     "wait for a stopped machine whose rank may be armed: $name",
     async ({ rank }) => {
-      const harness = rankWorld.createRankWorld({ rankCount });
+      const harness = rankGroupHarness.createRankGroupHarness({ rankCount });
       expect(await advanceToHold(harness, 5_000)).toBe(true);
       harness.stopMachine(rank);
       await harness.scheduler.advanceAsync(3_000);
-      expect(harness.isHeld()).toBe(true);
-      harness.thaw(rank);
+      expect(harness.isPassHeld()).toBe(true);
+      harness.resumeAgent(rank);
       await harness.scheduler.advanceAsync(1_500);
-      expect(harness.isHeld()).toBe(false);
+      expect(harness.isPassHeld()).toBe(false);
       expectSingleMap(harness);
     },
   );
 
   it("end a switch although an agent freezes during a hold", async () => {
-    const harness = rankWorld.createRankWorld({ rankCount });
+    const harness = rankGroupHarness.createRankGroupHarness({ rankCount });
     expect(await advanceToHold(harness, 5_000)).toBe(true);
-    harness.freeze(5);
+    harness.pauseAgent(5);
     await harness.scheduler.advanceAsync(1_000);
-    expect(harness.isHeld()).toBe(false);
+    expect(harness.isPassHeld()).toBe(false);
     expect(harness.takeLongestStall()).toBeLessThan(400);
     expectSingleMap(harness);
   });
@@ -116,9 +116,9 @@
     "keep a single map despite lost messages and freezes, seed %i",
     async (seed) => {
       const random = randomSource.createRandomSource(seed);
-      const harness = rankWorld.createRankWorld({
+      const harness = rankGroupHarness.createRankGroupHarness({
         rankCount,
-        lostShare: 0.1,
+        lossProbability: 0.1,
         random,
       });
       let roundsWithHold = 0;
@@ -127,16 +127,16 @@
         harness.shiftDemand();
         if (await advanceToHold(harness, 3_000)) roundsWithHold += 1;
         await harness.scheduler.advanceAsync(Math.floor(random() * 10));
-        if (random() < 0.5) harness.freeze(rank);
+        if (random() < 0.5) harness.pauseAgent(rank);
         else harness.stopMachine(rank);
         await harness.scheduler.advanceAsync(Math.floor(random() * 3_000));
-        harness.thaw(rank);
+        harness.resumeAgent(rank);
         await harness.scheduler.advanceAsync(500);
         expect(harness.getViolation()).toBeUndefined();
       }
       expect(roundsWithHold).toBeGreaterThan(3);
       await harness.scheduler.advanceAsync(8_000);
-      expect(harness.isHeld()).toBe(false);
+      expect(harness.isPassHeld()).toBe(false);
       expectSingleMap(harness);
     },
     60_000,
--- a/packages/anvilhinge/src/entry/session/session_direct_test.ts
+++ b/packages/anvilhinge/src/entry/session/session_direct_test.ts
@@ -33,7 +33,7 @@
 }
 
 function listAnswers(driver: sessionDriver.Driver) {
-  return driver.list("answer").map(({ answer }) => answer.kind);
+  return driver.listEffects("answer").map(({ answer }) => answer.kind);
 }
 
 /** Chooses one upstream for the first attempt and none afterwards. */
@@ -53,24 +53,24 @@
 
 test("an attempt is dispatched immediately, without a claim", () => {
   const driver = createDriver(unrepeatable);
-  expect(driver.list("dispatch")).toHaveLength(1);
-  expect(driver.list("prepare")).toEqual([]);
-  expect(driver.list("claim")).toEqual([]);
+  expect(driver.listEffects("dispatch")).toHaveLength(1);
+  expect(driver.listEffects("prepare")).toEqual([]);
+  expect(driver.listEffects("claim")).toEqual([]);
 });
 
 test("a refusal of the last attempt is answered with not run", () => {
   const driver = createDriver(unrepeatable, { maxAttempts: 1 });
   driver.feedFrame(1, 0, { body: sessionDriver.createRefusal("overloaded") });
   expect(listAnswers(driver)).toEqual(["not_run"]);
-  expect(driver.list("settle")).toEqual([]);
+  expect(driver.listEffects("settle")).toEqual([]);
 });
 
 test("a request that must not run twice is not retried after it left the node", () => {
   const driver = createDriver(unrepeatable);
   driver.feed(lost);
-  expect(driver.list("dispatch")).toHaveLength(1);
+  expect(driver.listEffects("dispatch")).toHaveLength(1);
   expect(listAnswers(driver)).toEqual(["unknown"]);
-  expect(driver.list("seal")).toEqual([]);
+  expect(driver.listEffects("seal")).toEqual([]);
 });
 
 test("an unsent attempt is retried at another upstream beyond maxAttempts", () => {
@@ -79,18 +79,18 @@
     takeRetry: () => false,
   });
   driver.feed({ ...lost, sent: false });
-  expect(driver.list("dispatch").map(({ upstream }) => upstream.id))
+  expect(driver.listEffects("dispatch").map(({ upstream }) => upstream.id))
     .toEqual(["g/0", "g/1"]);
 });
 
 test("only a repeatable request is retried when its upstream stalls", () => {
   const unrepeated = createDriver(unrepeatable);
   unrepeated.feed({ kind: "timer", name: "stall" });
-  expect(unrepeated.list("dispatch")).toHaveLength(1);
+  expect(unrepeated.listEffects("dispatch")).toHaveLength(1);
   const retried = createDriver(repeatable);
   retried.feed({ kind: "timer", name: "stall" });
-  expect(retried.list("dispatch")).toHaveLength(2);
-  expect(retried.list("cancel")).toHaveLength(1);
+  expect(retried.listEffects("dispatch")).toHaveLength(2);
+  expect(retried.listEffects("cancel")).toHaveLength(1);
 });
 
 test.each([
@@ -100,13 +100,13 @@
 ])("a stalled upstream is waited for when %s", (_, options) => {
   const driver = createDriver(repeatable, options);
   driver.feed({ kind: "timer", name: "stall" });
-  expect(driver.list("dispatch")).toHaveLength(1);
-  expect(driver.list("cancel")).toEqual([]);
+  expect(driver.listEffects("dispatch")).toHaveLength(1);
+  expect(driver.listEffects("cancel")).toEqual([]);
   driver.feedFrame(1, 0, { body: createHead(200) });
   driver.feedFrame(1, 1, { body: sessionDriver.createChunk("late") });
   driver.feedFrame(1, 2, { body: sessionDriver.createEnd(3) });
-  expect(driver.readText()).toBe("late");
-  expect(driver.list("end")).toHaveLength(1);
+  expect(driver.getText()).toBe("late");
+  expect(driver.listEffects("end")).toHaveLength(1);
 });
 
 test("the deadline ends and cancels a dispatched request, repeatable or not", () => {
@@ -114,7 +114,7 @@
     const driver = createDriver(request);
     driver.feed({ kind: "timer", name: "deadline" });
     expect(listAnswers(driver)).toEqual(["deadline_exceeded"]);
-    expect(driver.list("cancel")).toHaveLength(1);
+    expect(driver.listEffects("cancel")).toHaveLength(1);
   }
 });
 
@@ -123,21 +123,25 @@
   driver.feedFrame(1, 0, { body: createHead(500) });
   driver.feedFrame(1, 1, { body: sessionDriver.createChunk("one") });
   driver.feedFrame(1, 2, { body: sessionDriver.createEnd(3) });
-  expect(driver.list("dispatch")).toHaveLength(2);
+  expect(driver.listEffects("dispatch")).toHaveLength(2);
   driver.feedFrame(2, 0, { body: createHead(500) });
   driver.feedFrame(2, 1, { body: sessionDriver.createChunk("two") });
   driver.feedFrame(2, 2, { body: sessionDriver.createEnd(3) });
-  expect(driver.list("head").map(({ head }) => head.status)).toEqual([500]);
-  expect(driver.readText()).toBe("two");
-  expect(driver.list("end")).toHaveLength(1);
+  expect(driver.listEffects("head").map(({ head }) => head.status)).toEqual([
+    500,
+  ]);
+  expect(driver.getText()).toBe("two");
+  expect(driver.listEffects("end")).toHaveLength(1);
 });
 
 test("a failure status of a request that must not run twice is delivered", () => {
   const driver = createDriver(unrepeatable);
   driver.feedFrame(1, 0, { body: createHead(500) });
   driver.feedFrame(1, 1, { body: sessionDriver.createEnd(2) });
-  expect(driver.list("dispatch")).toHaveLength(1);
-  expect(driver.list("head").map(({ head }) => head.status)).toEqual([500]);
+  expect(driver.listEffects("dispatch")).toHaveLength(1);
+  expect(driver.listEffects("head").map(({ head }) => head.status)).toEqual([
+    500,
+  ]);
 });
 
 test("a broken stream continues at another upstream after the last complete event", () => {
@@ -146,15 +150,15 @@
   const text = createEvent(1) + createEvent(2) + "id: 3\nda";
   driver.feedFrame(1, 1, { body: sessionDriver.createChunk(text) });
   driver.feed(lost);
-  expect(driver.list("dispatch")[1]?.attempt.resumeAfter).toBe("2");
+  expect(driver.listEffects("dispatch")[1]?.attempt.resumeAfter).toBe("2");
   driver.feedFrame(2, 0, { body: createHead(200) });
   driver.feedFrame(2, 1, {
     body: sessionDriver.createChunk(createEvent(3)),
   });
   driver.feedFrame(2, 2, { body: sessionDriver.createEnd(3) });
-  expect(driver.readText()).toBe([1, 2, 3].map(createEvent).join(""));
-  expect(driver.list("head")).toHaveLength(1);
-  expect(driver.list("end")).toHaveLength(1);
+  expect(driver.getText()).toBe([1, 2, 3].map(createEvent).join(""));
+  expect(driver.listEffects("head")).toHaveLength(1);
+  expect(driver.listEffects("end")).toHaveLength(1);
 });
 
 test("a stream with a missing or repeated event is not delivered further", () => {
@@ -162,11 +166,11 @@
     const driver = createDriver(stream, { maxAttempts: 1 });
     driver.feedFrame(1, 0, { body: createHead(200) });
     for (const id of [1, next]) {
-      const sequence = id === next && driver.readText() !== "" ? 2 : 1;
+      const sequence = id === next && driver.getText() !== "" ? 2 : 1;
       const body = sessionDriver.createChunk(createEvent(id));
       driver.feedFrame(1, sequence, { body });
     }
-    expect(driver.readText()).toBe(createEvent(1));
+    expect(driver.getText()).toBe(createEvent(1));
     expect(listAnswers(driver)).toEqual(["failed"]);
   }
 });
@@ -177,31 +181,31 @@
   const body = sessionDriver.createChunk(createEvent(1) + "id: 2\n");
   driver.feedFrame(1, 1, { body });
   driver.feedFrame(1, 2, { body: sessionDriver.createEnd(3) });
-  expect(driver.list("end")).toEqual([]);
+  expect(driver.listEffects("end")).toEqual([]);
   expect(listAnswers(driver)).toEqual(["failed"]);
 });
 
 test("the first attempt resumes after the last event that the caller received", () => {
   const driver = createDriver({ ...stream, resumeAfter: "7" });
-  expect(driver.list("dispatch")[0]?.attempt.resumeAfter).toBe("7");
+  expect(driver.listEffects("dispatch")[0]?.attempt.resumeAfter).toBe("7");
   driver.feedFrame(1, 0, { body: createHead(200) });
   driver.feedFrame(1, 1, {
     body: sessionDriver.createChunk(createEvent(8)),
   });
-  expect(driver.readText()).toBe(createEvent(8));
+  expect(driver.getText()).toBe(createEvent(8));
 });
 
 test("a waiting request is dispatched once when it is granted a slot", () => {
   const driver = createDriver(unrepeatable, {
     chooseUpstream: () => ({ kind: "wait" }),
   });
-  expect(driver.list("dispatch")).toEqual([]);
+  expect(driver.listEffects("dispatch")).toEqual([]);
   const upstream = sessionDriver.createUpstream(4);
   driver.feed({ kind: "granted", upstream });
-  expect(driver.list("dispatch").map((effect) => effect.upstream.id))
+  expect(driver.listEffects("dispatch").map((effect) => effect.upstream.id))
     .toEqual(["g/4"]);
   driver.feed({ kind: "granted", upstream });
-  expect(driver.list("dispatch")).toHaveLength(1);
+  expect(driver.listEffects("dispatch")).toHaveLength(1);
 });
 
 test("a waiting request that is denied or times out is answered with not run", () => {
@@ -209,7 +213,7 @@
     chooseUpstream: () => ({ kind: "wait" }),
   });
   denied.feed({ kind: "denied", reason: "full", retryAfterMs: 70 });
-  expect(denied.list("answer")[0]?.answer).toEqual({
+  expect(denied.listEffects("answer")[0]?.answer).toEqual({
     kind: "not_run",
     reason: "full",
     retryAfterMs: 70,
@@ -226,6 +230,6 @@
     const driver = createDriver(request);
     driver.feed({ kind: "caller_gone" });
     expect(driver.session.isDone()).toBe(true);
-    expect(driver.list("cancel")).toHaveLength(1);
+    expect(driver.listEffects("cancel")).toHaveLength(1);
   }
 });
--- a/packages/anvilhinge/src/entry/session/session_property_test.ts
+++ b/packages/anvilhinge/src/entry/session/session_property_test.ts
@@ -126,7 +126,7 @@
         fc.array(anyInput, { minLength: 10, maxLength: 60, size: "max" }),
         (inputs) => {
           const driver = feedInputs(inputs, request);
-          const text = driver.readText();
+          const text = driver.getText();
           const generations = Array.from(
             { length: attemptCount },
             (_, index) =>
@@ -139,11 +139,11 @@
             true,
           );
           const finalEffects = [
-            ...driver.list("end"),
-            ...driver.list("answer"),
+            ...driver.listEffects("end"),
+            ...driver.listEffects("answer"),
           ];
           expect(finalEffects.length).toBeLessThanOrEqual(1);
-          if (driver.list("end").length === 1) {
+          if (driver.listEffects("end").length === 1) {
             completed += 1;
             expect(generations).toContain(text);
           } else if (request.delivery === "whole") {
--- a/packages/anvilhinge/src/entry/session/session_test.ts
+++ b/packages/anvilhinge/src/entry/session/session_test.ts
@@ -20,7 +20,7 @@
 } as const;
 
 function findFinalAnswer(driver: sessionDriver.Driver) {
-  return driver.list("answer").at(-1)?.answer;
+  return driver.listEffects("answer").at(-1)?.answer;
 }
 
 test("the answer is not 'not run' when an earlier attempt may have run", () => {
@@ -53,7 +53,7 @@
   for (let count = 0; count < 4; count += 1) {
     driver.feed({ ...lost, attemptId: "a9", sent: false } as typeof lost);
   }
-  expect(driver.list("resume")).toHaveLength(4);
+  expect(driver.listEffects("resume")).toHaveLength(4);
   expect(findFinalAnswer(driver)).toMatchObject({ kind: "failed", ran: "yes" });
 });
 
@@ -61,22 +61,22 @@
   const driver = sessionDriver.createDriver(unrepeatable);
   driver.feedFrame(1, 0, { body: accepted });
   driver.feedFrame(1, 1, { body: failed });
-  expect(driver.list("dispatch")).toHaveLength(1);
+  expect(driver.listEffects("dispatch")).toHaveLength(1);
   expect(findFinalAnswer(driver)).toMatchObject({ kind: "unknown" });
 });
 
 test("a lost unrepeatable attempt is sealed before another attempt starts", () => {
   const driver = sessionDriver.createDriver(unrepeatable);
   driver.feed(lost);
-  expect(driver.list("dispatch")).toHaveLength(1);
-  expect(driver.list("seal")[0]?.seal).toMatchObject({
+  expect(driver.listEffects("dispatch")).toHaveLength(1);
+  expect(driver.listEffects("seal")[0]?.seal).toMatchObject({
     attemptId: "a1",
     incarnation: "i",
   });
   const attemptId = "a1";
   driver.feed({ kind: "seal_answered", attemptId, outcome: "sealed" });
-  expect(driver.list("claim").at(-1)).toMatchObject({ replaces: "a1" });
-  expect(driver.list("dispatch")).toHaveLength(2);
+  expect(driver.listEffects("claim").at(-1)).toMatchObject({ replaces: "a1" });
+  expect(driver.listEffects("dispatch")).toHaveLength(2);
 });
 
 test.each(["unknown", "unreachable"] as const)(
@@ -85,7 +85,7 @@
     const driver = sessionDriver.createDriver(unrepeatable);
     driver.feed(lost);
     driver.feed({ kind: "seal_answered", attemptId: "a1", outcome });
-    expect(driver.list("dispatch")).toHaveLength(1);
+    expect(driver.listEffects("dispatch")).toHaveLength(1);
     expect(findFinalAnswer(driver)).toMatchObject({ kind: "unknown" });
   },
 );
@@ -104,8 +104,8 @@
   driver.feedFrame(1, 1, { body: createChunk("filed") });
   driver.feedFrame(1, 2, { body: createEnd(3) });
   expect(driver.session.isDone()).toBe(true);
-  expect(driver.list("cancel")).toHaveLength(0);
-  expect(driver.list("settle")).toMatchObject([{
+  expect(driver.listEffects("cancel")).toHaveLength(0);
+  expect(driver.listEffects("settle")).toMatchObject([{
     attemptId: "a1",
     state: {
       kind: "finished",
@@ -276,7 +276,9 @@
     if (final === "deadline") driver.feed({ kind: "timer", name: "deadline" });
     else driver.feedFrame(1, 0, { body: accepted });
     driver.feedFrame(1, 1, { body: createEnd(2) });
-    expect(driver.list("observe")).toHaveLength(driver.list("prepare").length);
+    expect(driver.listEffects("observe")).toHaveLength(
+      driver.listEffects("prepare").length,
+    );
   }
 });
 
@@ -286,12 +288,12 @@
   driver.feedFrame(1, 1, { body: createChunk("first") });
   driver.feed({ kind: "caller_gone" });
   expect(driver.session.isDone()).toBe(true);
-  expect(driver.list("cancel")).toHaveLength(0);
+  expect(driver.listEffects("cancel")).toHaveLength(0);
 });
 
 test("an attempt with no delivered data is cancelled when the caller disconnects", () => {
   const driver = sessionDriver.createDriver();
   driver.feedFrame(1, 0, { body: accepted });
   driver.feed({ kind: "caller_gone" });
-  expect(driver.list("cancel")).toMatchObject([{ attemptId: "a1" }]);
+  expect(driver.listEffects("cancel")).toMatchObject([{ attemptId: "a1" }]);
 });
--- a/packages/anvilhinge/src/matrix/agent_node.ts
+++ b/packages/anvilhinge/src/matrix/agent_node.ts
@@ -8,7 +8,7 @@
 import * as network from "./network.ts";
 
 /** One start of work at an engine. */
-export interface Start {
+export interface WorkStart {
   readonly upstreamId: string;
   readonly requestId: string;
   readonly attemptId: string;
@@ -20,13 +20,13 @@
   readonly scheduler: scheduler.Scheduler;
   readonly upstream: session.Upstream;
   readonly send: network.SendMessage;
-  readonly onStart: (start: Start) => void;
+  readonly onStart: (start: WorkStart) => void;
   /** Called when a service call takes effect. */
-  readonly onEffect: (start: Start) => void;
+  readonly onEffect: (start: WorkStart) => void;
 }
 
 /** Streams of frames as an entry receives them. */
-export type FrameTarget = Pick<
+export type FrameReceiver = Pick<
   agentClient.StreamOptions,
   "onFrame" | "onEnd" | "signal"
 >;
@@ -36,20 +36,20 @@
   readonly upstream: session.Upstream;
   isUp(): boolean;
   describe(): frames.AgentDescription;
-  run(attempt: frames.Attempt, target: FrameTarget): void;
-  resume(request: agentClient.ResumeRequest, target: FrameTarget): void;
+  run(attempt: frames.Attempt, target: FrameReceiver): void;
+  resume(request: agentClient.ResumeRequest, target: FrameReceiver): void;
   seal(request: frames.SealRequest): frames.SealOutcome;
   cancel(attemptId: string): void;
   setAssignment(received: assignment.Assignment): void;
   getAssignment(): assignment.Assignment | undefined;
   countRunning(): number;
   /** Ends the process; a new one starts later unless it is gone for good. */
-  kill(options: { readonly isGone: boolean }): void;
+  kill(options: { readonly isPermanent: boolean }): void;
   stall(durationMs: number): void;
 }
 
 /** Pieces of each answer of a model. */
-export const pieceCount = 5;
+export const chunkCount = 5;
 const firstPieceMs = 30;
 const pieceMs = 20;
 const effectMs = 20;
@@ -58,7 +58,7 @@
 const expireMs = 1_000;
 
 /** Text of one piece; differs between attempts, as sampled answers do. */
-export function formatPiece(attemptId: string, index: number): string {
+export function formatChunk(attemptId: string, index: number): string {
   return `<${attemptId}.${index}>`;
 }
 
@@ -70,7 +70,7 @@
 interface Process {
   readonly incarnation: string;
   readonly table: attempts.Attempts;
-  readonly targets: Set<FrameTarget>;
+  readonly targets: Set<FrameReceiver>;
 }
 
 /** Creates an agent that is up. */
@@ -92,7 +92,7 @@
       readLoad: () => ({ running: 0, queued: 0, stepUs: 0 }),
     });
     if (known !== undefined) table.setAssignment(known);
-    const started = { incarnation, table, targets: new Set<FrameTarget>() };
+    const started = { incarnation, table, targets: new Set<FrameReceiver>() };
     expireRegularly(started);
     return started;
   }
@@ -145,8 +145,8 @@
     }, firstPieceMs);
 
     function emitPiece(index: number): void {
-      if (index === pieceCount) return emit({ kind: "end" });
-      const data = Buffer.from(formatPiece(attemptId, index));
+      if (index === chunkCount) return emit({ kind: "end" });
+      const data = Buffer.from(formatChunk(attemptId, index));
       emit({ kind: "data", data });
       scheduleEngine(() => emitPiece(index + 1), pieceMs);
     }
@@ -157,7 +157,7 @@
     { own, attemptId, target }: {
       readonly own: Process;
       readonly attemptId: string;
-      readonly target: FrameTarget;
+      readonly target: FrameReceiver;
     },
     subscribe: (sink: attempts.FrameSink) => void,
   ): void {
@@ -223,7 +223,7 @@
     },
     getAssignment: () => running?.table.getAssignment(),
     countRunning: () => running?.table.countRunning() ?? 0,
-    kill({ isGone }) {
+    kill({ isPermanent: isGone }) {
       if (running === undefined) return;
       closeTargets(running);
       running = undefined;
--- a/packages/anvilhinge/src/matrix/at_most_once_test.ts
+++ b/packages/anvilhinge/src/matrix/at_most_once_test.ts
@@ -1,10 +1,10 @@
-import type * as steps from "./steps.ts";
-import * as world from "./world.ts";
+import type * as faultPlan from "./fault_plan.ts";
+import * as simulation from "./simulation.ts";
 
 function runFiling(
-  ...planned: readonly steps.PlannedFault[]
-): Promise<world.Record> {
-  return world.runWorld({ session: "filing", planned });
+  ...planned: readonly faultPlan.PlannedFault[]
+): Promise<simulation.SimulationRecord> {
+  return simulation.runSimulation({ session: "filing", planned });
 }
 
 test("a paused entry that wakes after another took over starts nothing", async () => {
@@ -13,8 +13,8 @@
     step: "store_write#1",
   });
   expect(record.effects).toHaveLength(1);
-  expect(record.sends.map((send) => send.entry.id)).toEqual(["A", "B"]);
-  expect(record.sends[1]).toMatchObject({ isComplete: true });
+  expect(record.submissions.map((send) => send.entry.id)).toEqual(["A", "B"]);
+  expect(record.submissions[1]).toMatchObject({ isComplete: true });
 });
 
 test("an agent that restarts before the call arrives runs nothing of it", async () => {
@@ -33,7 +33,7 @@
   });
   expect(record.effects).toHaveLength(1);
   expect(record.starts).toHaveLength(1);
-  expect(record.sends[0]?.final?.kind ?? "complete").not.toBe("not_run");
+  expect(record.submissions[0]?.final?.kind ?? "complete").not.toBe("not_run");
 });
 
 test("an answer that is lost after the effect is fetched again", async () => {
@@ -42,8 +42,8 @@
     step: "frame_end#1",
   });
   expect(record.effects).toHaveLength(1);
-  expect(record.sends[0]).toMatchObject({ isComplete: true });
-  expect(record.inquiry).toMatchObject({
+  expect(record.submissions[0]).toMatchObject({ isComplete: true });
+  expect(record.callOutcome).toMatchObject({
     kind: "finished",
     answer: { status: 201 },
   });
@@ -60,7 +60,7 @@
 
 test("an outage of the store is answered at once, and nothing runs in it", async () => {
   const record = await runFiling({ fault: "store_down", step: "store_read#1" });
-  const [first] = record.sends;
+  const [first] = record.submissions;
   expect(first?.final).toMatchObject({ kind: "unknown", retryAfterMs: 1_000 });
   expect(first?.finalAtMs).toBeLessThan(100);
   expect(record.starts.filter(({ atMs }) => atMs < 5_000)).toEqual([]);
@@ -70,7 +70,7 @@
 test("an entry that dies after the claim leaves a call that is settled", async () => {
   const record = await runFiling({ fault: "entry_dies", step: "run#1" });
   expect(record.effects).toHaveLength(1);
-  expect(record.sends.at(-1)).toMatchObject({ isComplete: true });
+  expect(record.submissions.at(-1)).toMatchObject({ isComplete: true });
 });
 
 test("an entry whose attempt was replaced by another does not say not run", async () => {
@@ -79,6 +79,6 @@
     { fault: "store_down", step: "seal#2" },
   );
   expect(record.effects).toHaveLength(1);
-  const finals = record.sends.map((send) => send.final?.kind);
+  const finals = record.submissions.map((send) => send.final?.kind);
   expect(finals).not.toContain("not_run");
 });
--- a/packages/anvilhinge/src/matrix/caller.ts
+++ b/packages/anvilhinge/src/matrix/caller.ts
@@ -8,7 +8,7 @@
 import type * as entryNode from "./entry_node.ts";
 
 /** What one entry said to one sending of the call. */
-export interface Send {
+export interface Submission {
   readonly entry: entryNode.EntryNode;
   readonly requestId: string;
   readonly atMs: number;
@@ -40,7 +40,7 @@
 export interface RunningCaller {
   /** Request id of the first sending. */
   readonly callId: string;
-  listSends(): readonly Send[];
+  listSubmissions(): readonly Submission[];
 }
 
 export const workspace = "drafting/milan";
@@ -52,7 +52,7 @@
 /** Sends the call; the scheduler drives the rest. */
 export function runCaller(options: CallerOptions): RunningCaller {
   const { scheduler: timers, entries } = options;
-  const sends: Send[] = [];
+  const sends: Submission[] = [];
   const callId = "call-1";
 
   function createRequest(requestId: string): session.Request {
@@ -77,7 +77,7 @@
     };
   }
 
-  function sendTo(entry: entryNode.EntryNode, earlier?: Send): void {
+  function sendTo(entry: entryNode.EntryNode, earlier?: Submission): void {
     const canResume = options.isModel && earlier?.lastSequence !== undefined;
     // A repeatable call is a new request each time, unless it is resumed.
     const requestId = canResume && earlier !== undefined
@@ -85,7 +85,7 @@
       : options.isRepeatable
       ? `call-${sends.length + 1}`
       : callId;
-    const sent: Send = {
+    const sent: Submission = {
       entry,
       requestId,
       atMs: timers.now(),
@@ -99,7 +99,7 @@
     };
     sends.push(sent);
     const gone = new AbortController();
-    entry.onDeath(() => {
+    entry.onExit(() => {
       if (sent.lastWords === 0) sendNext(sent);
     });
     timers.schedule(() => {
@@ -123,13 +123,13 @@
   }
 
   /** Goes to the next entry that is up. */
-  function sendNext(earlier: Send): void {
+  function sendNext(earlier: Submission): void {
     const position = entries.indexOf(earlier.entry);
     const next = entries.slice(position + 1).find((entry) => entry.isUp());
     if (next !== undefined && sends.length < maxSends) sendTo(next, earlier);
   }
 
-  function createSink(sent: Send): Parameters<
+  function createSink(sent: Submission): Parameters<
     entryNode.EntryNode["runCall"]
   >[1]["sink"] {
     function end(): void {
@@ -166,5 +166,5 @@
 
   const [first] = entries;
   if (first !== undefined) sendTo(first);
-  return { callId, listSends: () => sends };
+  return { callId, listSubmissions: () => sends };
 }
--- a/packages/anvilhinge/src/matrix/cells.ts
+++ b/packages/anvilhinge/src/matrix/cells.ts
@@ -2,12 +2,12 @@
 import * as random from "@anvilhinge/coordination/random";
 import * as checks from "./checks.ts";
 import type * as entryNode from "./entry_node.ts";
-import * as steps from "./steps.ts";
-import * as world from "./world.ts";
+import * as faultPlan from "./fault_plan.ts";
+import * as simulation from "./simulation.ts";
 
 export interface Cell {
-  readonly session: world.SessionName;
-  readonly planned: readonly steps.PlannedFault[];
+  readonly session: simulation.SessionName;
+  readonly planned: readonly faultPlan.PlannedFault[];
   readonly violations: readonly string[];
 }
 
@@ -15,22 +15,22 @@
   readonly variant?: entryNode.Variant;
 }
 
-const messageFaults: ReadonlySet<steps.Fault> = new Set(
-  steps.allFaults.filter((fault) => fault.startsWith("message_")),
+const messageFaults: ReadonlySet<faultPlan.Fault> = new Set(
+  faultPlan.allFaults.filter((fault) => fault.startsWith("message_")),
 );
 
 /** Whether a fault of this kind can occur at a step. */
-function isPossible(fault: steps.Fault, step: string): boolean {
+function isPossible(fault: faultPlan.Fault, step: string): boolean {
   return !(messageFaults.has(fault) && step.startsWith("store_"));
 }
 
 /** Lists the single faults of a session by the steps of its quiet run. */
-export async function listSingles(
-  session: world.SessionName,
-): Promise<readonly steps.PlannedFault[]> {
-  const quiet = await world.runWorld({ session, planned: [] });
+export async function listSingleFaults(
+  session: simulation.SessionName,
+): Promise<readonly faultPlan.PlannedFault[]> {
+  const quiet = await simulation.runSimulation({ session, planned: [] });
   return quiet.steps.flatMap((step) =>
-    steps.allFaults
+    faultPlan.allFaults
       .filter((fault) => isPossible(fault, step))
       .map((fault) => ({ fault, step }))
   );
@@ -38,21 +38,21 @@
 
 /** Runs one cell. */
 export async function runCell(
-  session: world.SessionName,
-  planned: readonly steps.PlannedFault[],
+  session: simulation.SessionName,
+  planned: readonly faultPlan.PlannedFault[],
   { variant }: CellOptions = {},
 ): Promise<Cell> {
-  const record = await world.runWorld({ session, planned, variant });
+  const record = await simulation.runSimulation({ session, planned, variant });
   return { session, planned, violations: checks.listViolations(record) };
 }
 
 /** Runs each single fault of a session. */
-export async function runSingles(
-  session: world.SessionName,
+export async function runSingleFaults(
+  session: simulation.SessionName,
   options: CellOptions = {},
 ): Promise<readonly Cell[]> {
   const cells: Cell[] = [];
-  for (const planned of await listSingles(session)) {
+  for (const planned of await listSingleFaults(session)) {
     cells.push(await runCell(session, [planned], options));
   }
   return cells;
@@ -62,12 +62,12 @@
  * Runs pairs that a seed draws: the second fault falls on any step that the
  * session takes under the first, so also on its way of recovery.
  */
-export async function runPairs(
-  session: world.SessionName,
+export async function runFaultPairs(
+  session: simulation.SessionName,
   options: CellOptions & { readonly seed: number; readonly count: number },
 ): Promise<readonly Cell[]> {
   const draw = random.createRandomSource(options.seed);
-  const singles = await listSingles(session);
+  const singles = await listSingleFaults(session);
   const cells: Cell[] = [];
 
   function pick<Item>(items: readonly Item[]): Item {
@@ -76,13 +76,13 @@
 
   while (cells.length < options.count) {
     const first = pick(singles);
-    const { steps: reached } = await world.runWorld({
+    const { steps: reached } = await simulation.runSimulation({
       session,
       planned: [first],
     });
     const step = pick(reached);
     const fault = pick(
-      steps.allFaults.filter((one) => isPossible(one, step)),
+      faultPlan.allFaults.filter((one) => isPossible(one, step)),
     );
     cells.push(await runCell(session, [first, { fault, step }], options));
   }
--- a/packages/anvilhinge/src/matrix/checks.ts
+++ b/packages/anvilhinge/src/matrix/checks.ts
@@ -1,7 +1,7 @@
 /** The promises to callers, checked on the record of one world. */
 import * as agentNode from "./agent_node.ts";
 import * as caller from "./caller.ts";
-import type * as world from "./world.ts";
+import type * as simulation from "./simulation.ts";
 
 /** Slack for calls that were under way at the deadline, in milliseconds. */
 const deadlineSlackMs = 10_000;
@@ -9,12 +9,14 @@
 const leastTimeLeftMs = 10_000;
 
 /** Returns one sentence for each promise that was broken. */
-export function listViolations(record: world.Record): readonly string[] {
+export function listViolations(
+  record: simulation.SimulationRecord,
+): readonly string[] {
   return [
     ...checkOnce(record),
     ...checkHandover(record),
     ...checkInquiry(record),
-    ...record.sends.flatMap((send) => [
+    ...record.submissions.flatMap((send) => [
       ...checkWhole(record, send),
       ...checkFinal(record, send),
       ...checkTime(send),
@@ -22,13 +24,17 @@
   ];
 }
 
-function checkOnce({ isRepeatable, effects }: world.Record): string[] {
+function checkOnce(
+  { isRepeatable, effects }: simulation.SimulationRecord,
+): string[] {
   return !isRepeatable && effects.length > 1
     ? [`The call took effect ${effects.length} times`]
     : [];
 }
 
-function checkHandover({ leavingAtMs, starts }: world.Record): string[] {
+function checkHandover(
+  { leavingAtMs, starts }: simulation.SimulationRecord,
+): string[] {
   if (leavingAtMs === undefined) return [];
   const late = starts.filter(({ upstreamId, atMs }) =>
     upstreamId === "g0/0" && atMs > leavingAtMs
@@ -36,7 +42,9 @@
   return late.length > 0 ? ["The leaving upstream started new work"] : [];
 }
 
-function checkInquiry({ inquiry, effects }: world.Record): string[] {
+function checkInquiry(
+  { callOutcome: inquiry, effects }: simulation.SimulationRecord,
+): string[] {
   switch (inquiry?.kind) {
     case "not_run":
       return effects.length === 0
@@ -52,17 +60,23 @@
 }
 
 /** Expected text of a whole answer. */
-function composeWhole(record: world.Record, send: caller.Send): string {
+function composeWhole(
+  record: simulation.SimulationRecord,
+  send: caller.Submission,
+): string {
   if (record.session !== "streamed model call") {
     return agentNode.formatServiceAnswer(send.requestId);
   }
   return Array.from(
-    { length: agentNode.pieceCount },
-    (_, index) => agentNode.formatPiece(send.attemptId ?? "", index),
+    { length: agentNode.chunkCount },
+    (_, index) => agentNode.formatChunk(send.attemptId ?? "", index),
   ).join("");
 }
 
-function checkWhole(record: world.Record, send: caller.Send): string[] {
+function checkWhole(
+  record: simulation.SimulationRecord,
+  send: caller.Submission,
+): string[] {
   const text = send.before + send.text;
   const whole = composeWhole(record, send);
   if (send.isComplete && text !== whole) {
@@ -71,7 +85,10 @@
   return whole.startsWith(text) ? [] : [`A broken answer reads "${text}"`];
 }
 
-function checkFinal(record: world.Record, send: caller.Send): string[] {
+function checkFinal(
+  record: simulation.SimulationRecord,
+  send: caller.Submission,
+): string[] {
   const { final } = send;
   const ownStarts = record.starts.filter(({ requestId }) =>
     requestId === send.requestId
@@ -104,7 +121,7 @@
   }
 }
 
-function checkTime(send: caller.Send): string[] {
+function checkTime(send: caller.Submission): string[] {
   if (send.lastWords > 1) return [`${send.lastWords} last words were said`];
   if (!send.entry.isUp()) return [];
   const { finalAtMs, final, atMs } = send;
--- a/packages/anvilhinge/src/matrix/entry_node.ts
+++ b/packages/anvilhinge/src/matrix/entry_node.ts
@@ -10,7 +10,7 @@
 import type * as scheduler from "../ports/scheduler.ts";
 import type * as agentNode from "./agent_node.ts";
 import type * as network from "./network.ts";
-import type * as steps from "./steps.ts";
+import type * as faultPlan from "./fault_plan.ts";
 
 /** Replaces parts of an entry by broken ones, to show what the checks find. */
 export interface Variant {
@@ -27,8 +27,8 @@
   readonly id: string;
   readonly scheduler: scheduler.Scheduler;
   readonly send: network.SendMessage;
-  readonly plan: steps.Plan;
-  readonly onFault: (fault: steps.Fault) => void;
+  readonly plan: faultPlan.FaultPlan;
+  readonly onFault: (fault: faultPlan.Fault) => void;
   readonly agents: readonly agentNode.AgentNode[];
   readonly store: objectStore.ObjectStore;
   readonly chooseUpstream: session.SessionOptions["chooseUpstream"];
@@ -47,11 +47,11 @@
   readonly id: string;
   isUp(): boolean;
   runCall(request: session.Request, options: RunCallOptions): void;
-  readonly ask: outcomeLookup.FindOutcome;
+  readonly findOutcome: outcomeLookup.FindOutcome;
   pause(durationMs: number): void;
   kill(): void;
   /** Called when the process dies. */
-  onDeath(listener: () => void): void;
+  onExit(listener: () => void): void;
 }
 
 const seed = 7;
@@ -111,9 +111,12 @@
   function openStream(
     name: string,
     stream: agentClient.StreamOptions,
-    start: (agent: agentNode.AgentNode, target: agentNode.FrameTarget) => void,
+    start: (
+      agent: agentNode.AgentNode,
+      target: agentNode.FrameReceiver,
+    ) => void,
   ): void {
-    const target: agentNode.FrameTarget = {
+    const target: agentNode.FrameReceiver = {
       signal: stream.signal,
       onFrame: (frame) => execute(() => stream.onFrame(frame)),
       onEnd: (end) => execute(() => stream.onEnd(end)),
@@ -151,7 +154,7 @@
     name: string,
     call: () => Promise<Outcome>,
   ): Promise<Outcome> {
-    for (const fault of options.plan.reach(name)) options.onFault(fault);
+    for (const fault of options.plan.recordStep(name)) options.onFault(fault);
     return new Promise((resolve) =>
       world.schedule(() =>
         void call().then((outcome) => {
@@ -213,7 +216,7 @@
     id: options.id,
     isUp: () => isUp,
     runCall: (request, call) => execute(() => runCall(request, call)),
-    ask: outcomeLookup.createOutcomeLookup({
+    findOutcome: outcomeLookup.createOutcomeLookup({
       claims,
       client,
       scheduler: own,
@@ -227,6 +230,6 @@
       isUp = false;
       for (const listener of deathListeners) listener();
     },
-    onDeath: (listener) => void deathListeners.push(listener),
+    onExit: (listener) => void deathListeners.push(listener),
   };
 }
--- a/packages/anvilhinge/src/matrix/steps.ts
+++ b/packages/anvilhinge/src/matrix/fault_plan.ts
@@ -45,19 +45,19 @@
 }
 
 /** Counts steps and says what goes wrong at each. */
-export interface Plan {
+export interface FaultPlan {
   /** Registers a step and returns the faults that are planned for it. */
-  reach(name: string): readonly Fault[];
+  recordStep(name: string): readonly Fault[];
   /** Steps in the order in which they were reached. */
   listSteps(): readonly string[];
 }
 
 /** Creates a plan; each fault occurs once. */
-export function createPlan(planned: readonly PlannedFault[]): Plan {
+export function createFaultPlan(planned: readonly PlannedFault[]): FaultPlan {
   const counts = new Map<string, number>();
   const steps: string[] = [];
   return {
-    reach(name) {
+    recordStep(name) {
       const count = (counts.get(name) ?? 0) + 1;
       counts.set(name, count);
       const step = `${name}#${count}`;
--- a/packages/anvilhinge/src/matrix/golden.ts
+++ b/packages/anvilhinge/src/matrix/golden.ts
@@ -3,12 +3,12 @@
  * event and effect of the session's state machine, on a manual clock.
  */
 import type * as session from "../entry/session/session.ts";
-import type * as steps from "./steps.ts";
-import * as world from "./world.ts";
+import type * as faultPlan from "./fault_plan.ts";
+import * as simulation from "./simulation.ts";
 
 export interface GoldenSession {
-  readonly session: world.SessionName;
-  readonly planned: readonly steps.PlannedFault[];
+  readonly session: simulation.SessionName;
+  readonly planned: readonly faultPlan.PlannedFault[];
 }
 
 interface EncodedBuffer {
@@ -54,14 +54,14 @@
   { session: name, planned }: GoldenSession,
 ): Promise<string> {
   const lines: string[] = [];
-  const result = await world.runWorld({
+  const result = await simulation.runSimulation({
     session: name,
     planned,
     variant: {
       wrapSession: (machine) =>
         wrapSession(machine, (line) => lines.push(line)),
     },
-    onMessage: ({ atMs, what, name }) =>
+    onMessage: ({ atMs, event: what, name }) =>
       void lines.push(`${atMs} ms ${what} ${name}`),
   });
   for (const { step } of planned) {
@@ -72,12 +72,14 @@
   }
   lines.push(`starts ${JSON.stringify(result.starts)}`);
   lines.push(`effects ${JSON.stringify(result.effects)}`);
-  lines.push(`caller ${JSON.stringify(result.sends, formatValue)}`);
+  lines.push(`caller ${JSON.stringify(result.submissions, formatValue)}`);
   return lines.join("\n");
 }
 
 /** Formats the name of a recorded session. */
-export function formatName({ session: name, planned }: GoldenSession): string {
+export function formatSessionName(
+  { session: name, planned }: GoldenSession,
+): string {
   const faults = planned.map(({ fault, step }) => `${fault} at ${step}`);
   return `${name}, ${faults.join(", ") || "no fault"}`;
 }
--- a/packages/anvilhinge/src/matrix/golden_association_test.ts
+++ b/packages/anvilhinge/src/matrix/golden_association_test.ts
@@ -26,7 +26,7 @@
   },
 ];
 
-test.each(sessions.map((one) => [golden.formatName(one), one] as const))(
+test.each(sessions.map((one) => [golden.formatSessionName(one), one] as const))(
   "association: %s",
   async (_name, one) => {
     expect(await golden.recordSession(one)).toMatchSnapshot();
--- a/packages/anvilhinge/src/matrix/main.ts
+++ b/packages/anvilhinge/src/matrix/main.ts
@@ -1,7 +1,7 @@
 /** Prints the fault matrix: cells that hold of all cells, by fault. */
 import * as cells from "./cells.ts";
-import * as steps from "./steps.ts";
-import * as world from "./world.ts";
+import * as faultPlan from "./fault_plan.ts";
+import * as simulation from "./simulation.ts";
 
 const seed = 20_261_203;
 const pairCount = 300;
@@ -19,17 +19,20 @@
 
 async function printMatrix(): Promise<void> {
   const bySession = [];
-  for (const session of world.allSessions) {
-    const singles = await cells.runSingles(session);
-    const pairs = await cells.runPairs(session, { seed, count: pairCount });
+  for (const session of simulation.allSessions) {
+    const singles = await cells.runSingleFaults(session);
+    const pairs = await cells.runFaultPairs(session, {
+      seed,
+      count: pairCount,
+    });
     bySession.push({ singles, pairs });
   }
-  for (const [index, session] of world.allSessions.entries()) {
+  for (const [index, session] of simulation.allSessions.entries()) {
     console.log(`${index + 1}: ${session}`);
   }
-  const numbers = world.allSessions.map((_, index) => `${index + 1}`);
+  const numbers = simulation.allSessions.map((_, index) => `${index + 1}`);
   console.log("".padEnd(20) + numbers.map((one) => one.padStart(12)).join(""));
-  for (const fault of steps.allFaults) {
+  for (const fault of faultPlan.allFaults) {
     const columns = bySession.map(({ singles }) =>
       singles.filter(({ planned }) => planned[0]?.fault === fault)
     );
--- a/packages/anvilhinge/src/matrix/matrix_test.ts
+++ b/packages/anvilhinge/src/matrix/matrix_test.ts
@@ -1,6 +1,6 @@
 import * as cells from "./cells.ts";
 import type * as entryNode from "./entry_node.ts";
-import * as world from "./world.ts";
+import * as simulation from "./simulation.ts";
 
 const seed = 20_261_203;
 const pairCount = 40;
@@ -10,20 +10,26 @@
     .map((cell) => `${cells.formatCell(cell)}: ${cell.violations.join("; ")}`);
 }
 
-describe.each(world.allSessions)("%s", (session) => {
+describe.each(simulation.allSessions)("%s", (session) => {
   test("a quiet run ends with the whole answer", async () => {
-    const record = await world.runWorld({ session, planned: [] });
-    expect(record.sends).toHaveLength(1);
-    expect(record.sends[0]).toMatchObject({ isComplete: true, lastWords: 1 });
+    const record = await simulation.runSimulation({ session, planned: [] });
+    expect(record.submissions).toHaveLength(1);
+    expect(record.submissions[0]).toMatchObject({
+      isComplete: true,
+      lastWords: 1,
+    });
     expect(record.starts).toHaveLength(1);
   });
 
   test("the promises hold under every fault at every step", async () => {
-    expect(listBroken(await cells.runSingles(session))).toEqual([]);
+    expect(listBroken(await cells.runSingleFaults(session))).toEqual([]);
   }, 60_000);
 
   test("the promises hold under pairs of faults", async () => {
-    const pairs = await cells.runPairs(session, { seed, count: pairCount });
+    const pairs = await cells.runFaultPairs(session, {
+      seed,
+      count: pairCount,
+    });
     expect(listBroken(pairs)).toEqual([]);
   }, 60_000);
 });
@@ -32,7 +38,7 @@
   async function findViolations(
     variant: entryNode.Variant,
   ): Promise<readonly string[]> {
-    return listBroken(await cells.runSingles("filing", { variant }));
+    return listBroken(await cells.runSingleFaults("filing", { variant }));
   }
 
   test("an entry that says not run without a seal", async () => {
--- a/packages/anvilhinge/src/matrix/network.ts
+++ b/packages/anvilhinge/src/matrix/network.ts
@@ -1,15 +1,15 @@
 /** Messages between the processes of the matrix, with planned faults. */
 import type * as scheduler from "../ports/scheduler.ts";
-import type * as steps from "./steps.ts";
+import type * as faultPlan from "./fault_plan.ts";
 
 /** Sends one message; `name` names its step. */
 export type SendMessage = (name: string, deliver: () => void) => void;
 
 export interface NetworkOptions {
   readonly scheduler: scheduler.Scheduler;
-  readonly plan: steps.Plan;
+  readonly plan: faultPlan.FaultPlan;
   /** Called for faults that do not concern the message itself. */
-  readonly onFault: (fault: steps.Fault) => void;
+  readonly onFault: (fault: faultPlan.Fault) => void;
   /** Called as a message leaves and as each copy of it arrives. */
   readonly onMessage?: (what: "sent" | "arrived", name: string) => void;
 }
@@ -23,7 +23,7 @@
 
 /** Creates the function that sends messages. */
 export function createNetwork(options: NetworkOptions): SendMessage {
-  function listDelays(faults: readonly steps.Fault[]): readonly number[] {
+  function listDelays(faults: readonly faultPlan.Fault[]): readonly number[] {
     if (faults.includes("message_lost")) return [];
     if (faults.includes("message_very_late")) return [veryLateMs];
     if (faults.includes("message_late")) return [lateMs];
@@ -33,7 +33,7 @@
   }
 
   return (name, deliver) => {
-    const faults = options.plan.reach(name);
+    const faults = options.plan.recordStep(name);
     options.onMessage?.("sent", name);
     for (const fault of faults) options.onFault(fault);
     for (const delayMs of listDelays(faults)) {
--- a/packages/anvilhinge/src/matrix/world.ts
+++ b/packages/anvilhinge/src/matrix/simulation.ts
@@ -14,7 +14,7 @@
 import * as entryNode from "./entry_node.ts";
 import * as handover from "./handover.ts";
 import * as network from "./network.ts";
-import * as steps from "./steps.ts";
+import * as faultPlan from "./fault_plan.ts";
 
 /** The four kinds of session. */
 export type SessionName =
@@ -31,30 +31,30 @@
   "permit stamp during a handover",
 ];
 
-export interface WorldOptions {
+export interface SimulationOptions {
   readonly session: SessionName;
-  readonly planned: readonly steps.PlannedFault[];
+  readonly planned: readonly faultPlan.PlannedFault[];
   readonly variant?: entryNode.Variant;
   /** Called at each message, with the instant in milliseconds. */
   readonly onMessage?: (
     message: {
       readonly atMs: number;
-      readonly what: "sent" | "arrived";
+      readonly event: "sent" | "arrived";
       readonly name: string;
     },
   ) => void;
 }
 
 /** What happened, once everything has come to rest. */
-export interface Record {
+export interface SimulationRecord {
   readonly session: SessionName;
   readonly isRepeatable: boolean;
   readonly steps: readonly string[];
-  readonly starts: readonly agentNode.Start[];
-  readonly effects: readonly agentNode.Start[];
-  readonly sends: readonly caller.Send[];
+  readonly starts: readonly agentNode.WorkStart[];
+  readonly effects: readonly agentNode.WorkStart[];
+  readonly submissions: readonly caller.Submission[];
   /** Present when the call must not run twice. */
-  readonly inquiry?: outcomeLookup.CallOutcome;
+  readonly callOutcome?: outcomeLookup.CallOutcome;
   /** When the first upstream learnt that it leaves its half. */
   readonly leavingAtMs?: number;
 }
@@ -70,16 +70,18 @@
 const inquiryMs = 15_000;
 
 /** Runs one session under the planned faults until all is at rest. */
-export async function runWorld(options: WorldOptions): Promise<Record> {
+export async function runSimulation(
+  options: SimulationOptions,
+): Promise<SimulationRecord> {
   const timers = manualScheduler.createManualScheduler();
-  const plan = steps.createPlan(options.planned);
+  const plan = faultPlan.createFaultPlan(options.planned);
   const storeFaults = faults.createFaultSwitch();
   const store = localObjectStore.createLocalObjectStore(
     objectApi.createObjectApi(),
     { faults: storeFaults, scheduler: timers },
   );
-  const starts: agentNode.Start[] = [];
-  const effects: agentNode.Start[] = [];
+  const starts: agentNode.WorkStart[] = [];
+  const effects: agentNode.WorkStart[] = [];
   const isModel = options.session === "streamed model call";
   const isRepeatable = isModel || options.session === "idempotent service call";
   let attemptCount = 0;
@@ -89,7 +91,7 @@
     plan,
     onFault: applyFault,
     onMessage: (what, name) =>
-      options.onMessage?.({ atMs: timers.now(), what, name }),
+      options.onMessage?.({ atMs: timers.now(), event: what, name }),
   });
   const agents = Array.from({ length: upstreamCount }, (_, index) => {
     const agent = agentNode.createAgentNode({
@@ -138,12 +140,12 @@
     });
   }
 
-  function applyFault(fault: steps.Fault): void {
+  function applyFault(fault: faultPlan.Fault): void {
     switch (fault) {
       case "agent_dies":
-        return first.kill({ isGone: false });
+        return first.kill({ isPermanent: false });
       case "agent_gone":
-        return first.kill({ isGone: true });
+        return first.kill({ isPermanent: true });
       case "entry_dies":
         return entries[0]?.kill();
       case "entry_pauses":
@@ -194,8 +196,8 @@
     steps: plan.listSteps(),
     starts,
     effects,
-    sends: running.listSends(),
-    inquiry: await outcome,
+    submissions: running.listSubmissions(),
+    callOutcome: await outcome,
     leavingAtMs: handedOver?.getLeavingAtMs(),
   };
 }
@@ -211,5 +213,8 @@
   running: caller.RunningCaller,
 ): Promise<outcomeLookup.CallOutcome> | undefined {
   const last = entries.at(-1);
-  return last?.ask({ workspace: caller.workspace, requestId: running.callId });
+  return last?.findOutcome({
+    workspace: caller.workspace,
+    requestId: running.callId,
+  });
 }
--- a/packages/anvilhinge/src/testing/handover_world.ts
+++ b/packages/anvilhinge/src/testing/handover_harness.ts
@@ -44,21 +44,21 @@
 });
 
 /** Returns the bearer token of a half's operator. */
-export function formatToken(half: string): string {
+export function formatAuthorization(half: string): string {
   return `Bearer token-of-${half}`;
 }
 
 function hashToken(half: string): string {
-  const token = formatToken(half).replace("Bearer ", "");
+  const token = formatAuthorization(half).replace("Bearer ", "");
   return nodeCrypto.createHash("sha256").update(token).digest("hex");
 }
 
 /** What was seen of the attempts that entries sent. */
-export interface Tally {
+export interface AttemptStats {
   started: number;
   ended: number;
   /** Attempts that started and did not complete. */
-  cut: number;
+  interrupted: number;
   /** Refusals by reason; each attempt may go elsewhere. */
   readonly refused: Record<string, number>;
   /** Admissions by half and epoch. */
@@ -67,7 +67,7 @@
 }
 
 /** Creates the world; `faultsOfWrites` befall the next write of a state. */
-export async function createHandoverWorld(seed = 1) {
+export async function createHandoverHarness(seed = 1) {
   const scheduler = manualScheduler.createManualScheduler();
   const source = random.createRandomSource(seed);
   const api = objectApi.createObjectApi();
@@ -76,12 +76,12 @@
     faults: storeFaults,
     scheduler,
   });
-  const faultsOfWrites = new Map<string, faults.Fault>();
+  const writeFaults = new Map<string, faults.Fault>();
   const history: assignment.Assignment[] = [];
-  const tally: Tally = {
+  const stats: AttemptStats = {
     started: 0,
     ended: 0,
-    cut: 0,
+    interrupted: 0,
     refused: {},
     admitted: {},
     violations: [],
@@ -96,8 +96,8 @@
     write(key, value, condition) {
       const record = assignmentCodec.parseAssignment(value);
       const name = record === undefined ? "" : `${record.state} ${record.half}`;
-      const fault = faultsOfWrites.get(name);
-      faultsOfWrites.delete(name);
+      const fault = writeFaults.get(name);
+      writeFaults.delete(name);
       const present = storeFaults.get();
       if (fault === undefined) return local.write(key, value, condition);
       storeFaults.set(fault, { callCount: 1 });
@@ -295,8 +295,8 @@
       restart(heard = entries) {
         alive.abort();
         const lost = table.countRunning();
-        tally.cut -= lost;
-        tally.ended += lost;
+        stats.interrupted -= lost;
+        stats.ended += lost;
         alive = new AbortController();
         table = startTable(heard);
       },
@@ -311,16 +311,16 @@
 
   function admit(attempt: frames.Attempt): void {
     const key = `${attempt.half} ${attempt.epoch}`;
-    tally.started += 1;
-    tally.admitted[key] = (tally.admitted[key] ?? 0) + 1;
+    stats.started += 1;
+    stats.admitted[key] = (stats.admitted[key] ?? 0) + 1;
     const wasServing = history.some((record) =>
       record.half === attempt.half && record.epoch === attempt.epoch &&
       record.state === "serving"
     );
-    if (!wasServing) tally.violations.push(`${key} was never in force`);
+    if (!wasServing) stats.violations.push(`${key} was never in force`);
     runningHalves.set(attempt.attemptId, attempt.half);
     if (new Set(runningHalves.values()).size > 1) {
-      tally.violations.push("Work of two halves runs at once");
+      stats.violations.push("Work of two halves runs at once");
     }
   }
 
@@ -349,16 +349,16 @@
     };
     const before = table.getAssignment();
     const outcome = table.offer(attempt, (frame) => {
-      if (frame.body.kind === "end") tally.ended += 1;
-      if (frame.body.kind === "failed") tally.cut += 1;
+      if (frame.body.kind === "end") stats.ended += 1;
+      if (frame.body.kind === "failed") stats.interrupted += 1;
       if (frame.body.kind === "refused") {
         const { reason } = frame.body;
-        tally.refused[reason] = (tally.refused[reason] ?? 0) + 1;
+        stats.refused[reason] = (stats.refused[reason] ?? 0) + 1;
       }
     });
     if (outcome.kind !== "start") return;
     if (before?.state === "leaving") {
-      tally.violations.push("Work was admitted while leaving");
+      stats.violations.push("Work was admitted while leaving");
     }
     admit(attempt);
     scheduler.schedule(() => {
@@ -378,7 +378,7 @@
     });
   }
 
-  function getRecord(): assignment.Assignment | undefined {
+  function getAssignment(): assignment.Assignment | undefined {
     return history.at(-1);
   }
 
@@ -395,33 +395,39 @@
   }
 
   sendLoad();
-  await advanceUntil(() => getRecord() !== undefined, 20_000);
+  await advanceUntil(() => getAssignment() !== undefined, 20_000);
   await scheduler.advanceAsync(1_000);
-  const listOf = (half: Half) => entries.filter((one) => one.half === half);
+  const listEntries = (half: Half) =>
+    entries.filter((one) => one.half === half);
   return {
     scheduler,
     storeFaults,
-    faultsOfWrites,
-    tally,
+    writeFaults: writeFaults,
+    stats: stats,
     agents,
     entries,
-    listOf,
+    listEntries: listEntries,
     history,
-    getRecord,
+    getAssignment: getAssignment,
     advanceUntil,
     getHolder: (half: Half) =>
-      listOf(half).find((one) => !one.isDead() && one.duties.isHolder(group)),
+      listEntries(half).find((one) =>
+        !one.isDead() && one.duties.isHolder(group)
+      ),
     /** Asks an entry for a move with the token of a half's operator. */
-    move(to: string, { by = "association", at = 0 }: {
-      readonly by?: Half;
-      readonly at?: number;
+    move(to: string, { operatorHalf: by = "association", entryIndex: at = 0 }: {
+      readonly operatorHalf?: Half;
+      readonly entryIndex?: number;
     } = {}) {
-      const options = { authorization: formatToken(by), changeId: createId() };
-      const entry = listOf(by)[at] as typeof entries[number];
+      const options = {
+        authorization: formatAuthorization(by),
+        changeId: createId(),
+      };
+      const entry = listEntries(by)[at] as typeof entries[number];
       return entry.moves.start({ group, to }, options);
     },
     stop: () => abort.abort(),
   };
 }
 
-export type HandoverWorld = Awaited<ReturnType<typeof createHandoverWorld>>;
+export type HandoverHarness = Awaited<ReturnType<typeof createHandoverHarness>>;
--- a/packages/anvilhinge/src/testing/rank_world.ts
+++ b/packages/anvilhinge/src/testing/rank_group_harness.ts
@@ -10,36 +10,36 @@
 import type * as logger from "../telemetry/logger.ts";
 import * as manualScheduler from "./manual_scheduler.ts";
 
-export interface RankWorldOptions {
+export interface RankGroupHarnessOptions {
   readonly rankCount: number;
   /** Share of datagrams that get lost, each drawn from `random`. */
-  readonly lostShare?: number;
+  readonly lossProbability?: number;
   readonly random?: () => number;
 }
 
-export interface RankWorld {
+export interface RankGroupHarness {
   readonly scheduler: manualScheduler.ManualScheduler;
   /** Number of passes that were begun. */
   getStep(): number;
   /** Longest time without a pass since the last call, in milliseconds. */
   takeLongestStall(): number;
   /** Version of the map that a rank uses. */
-  getVersion(rank: number): number;
-  isHeld(): boolean;
+  getMapVersion(rank: number): number;
+  isPassHeld(): boolean;
   isArmed(rank: number): boolean;
   /** What broke the promise of one map a pass; undefined when nothing did. */
   getViolation(): string | undefined;
   /** Stops the process of an agent; it goes on where it was with `thaw`. */
-  freeze(rank: number): void;
-  thaw(rank: number): void;
+  pauseAgent(rank: number): void;
+  resumeAgent(rank: number): void;
   /** As `freeze`, and nobody else reaches the engine, which goes on. */
   stopMachine(rank: number): void;
   /** Moves the demand to other experts. */
   shiftDemand(): void;
   /** Number of orders that came from another machine. */
-  countDistantOrders(): number;
+  countRemoteOrders(): number;
   /** Messages that agents logged. */
-  readonly logged: readonly string[];
+  readonly logMessages: readonly string[];
 }
 
 interface EngineState {
@@ -70,8 +70,11 @@
 const tokensPerPass = 400;
 
 /** Creates the world and starts its agents; time stands still. */
-export function createRankWorld(options: RankWorldOptions): RankWorld {
-  const { rankCount, lostShare = 0, random = () => 1 } = options;
+export function createRankGroupHarness(
+  options: RankGroupHarnessOptions,
+): RankGroupHarness {
+  const { rankCount, lossProbability: lostShare = 0, random = () => 1 } =
+    options;
   const world = manualScheduler.createManualScheduler();
   const logged: string[] = [];
   const slotsPerRank = expertCount / rankCount + 2;
@@ -342,18 +345,18 @@
       longestStallMs = 0;
       return found;
     },
-    getVersion: (rank) => engines[rank]!.map.version,
-    isHeld: () => engines.some(({ held }) => held !== undefined),
+    getMapVersion: (rank) => engines[rank]!.map.version,
+    isPassHeld: () => engines.some(({ held }) => held !== undefined),
     isArmed: (rank) => engines[rank]!.armed !== undefined,
     getViolation: () => violation,
-    freeze(rank) {
+    pauseAgent(rank) {
       processes[rank]!.isFrozen = true;
     },
     stopMachine(rank) {
       processes[rank]!.isFrozen = true;
       processes[rank]!.isCutOff = true;
     },
-    thaw(rank) {
+    resumeAgent(rank) {
       const process = processes[rank]!;
       process.isFrozen = false;
       process.isCutOff = false;
@@ -362,7 +365,7 @@
     shiftDemand() {
       firstHot = (firstHot + 2 * hotCount + 1) % expertCount;
     },
-    countDistantOrders: () => distantOrders,
-    logged,
+    countRemoteOrders: () => distantOrders,
+    logMessages: logged,
   };
 }
--- a/packages/anvilhinge/src/testing/session_driver.ts
+++ b/packages/anvilhinge/src/testing/session_driver.ts
@@ -25,11 +25,11 @@
     },
   ): void;
   /** Effects of one kind. */
-  list<Kind extends session.SessionEffect["kind"]>(
+  listEffects<Kind extends session.SessionEffect["kind"]>(
     kind: Kind,
   ): readonly Extract<session.SessionEffect, { readonly kind: Kind }>[];
   /** Data that was delivered, as text. */
-  readText(): string;
+  getText(): string;
 }
 
 /** An idle engine's load. */
@@ -102,8 +102,9 @@
       const attemptId = `a${attempt}`;
       feed({ kind: "frame", frame: { requestId, attemptId, sequence, body } });
     },
-    list: (kind) => effects.filter((effect) => effect.kind === kind) as never,
-    readText: () =>
+    listEffects: (kind) =>
+      effects.filter((effect) => effect.kind === kind) as never,
+    getText: () =>
       effects.map((effect) =>
         effect.kind === "data" ? Buffer.from(effect.data).toString() : ""
       ).join(""),
--- a/packages/coordination/bench/leases.ts
+++ b/packages/coordination/bench/leases.ts
@@ -59,7 +59,7 @@
       store,
       random: source,
       node: entry.node,
-      getPlace: () => computePlace(entry, key),
+      getCandidateIndex: () => computePlace(entry, key),
     });
   }
 
--- a/packages/coordination/src/dispatch/work_hub_test.ts
+++ b/packages/coordination/src/dispatch/work_hub_test.ts
@@ -1,4 +1,4 @@
-import * as dispatchWorld from "../testing/dispatch_world.ts";
+import * as dispatchSimulation from "../testing/dispatch_simulation.ts";
 import * as clock from "../clock.ts";
 import type * as work from "./work.ts";
 import * as workHub from "./work_hub.ts";
@@ -14,27 +14,27 @@
 const capacity = 1_000 * group.rankCount * group.slots / group.serviceMs;
 
 test("below capacity, no request is refused and no rank exceeds its slots", () => {
-  const result = dispatchWorld.runDispatchWorld({
+  const result = dispatchSimulation.runDispatchSimulation({
     ...group,
     seed: 1,
     load: () => 0.8,
   });
   expect(result.refused + result.abandoned + result.late).toBe(0);
-  expect(result.mostAtRank).toBeLessThanOrEqual(group.slots);
+  expect(result.maxRunningPerRank).toBeLessThanOrEqual(group.slots);
 });
 
 test.each([1.5, 2, 5])(
   "at %s times the capacity, the slots stay in use for timely requests",
   (load) => {
     const options = { ...group, seed: 2, load: () => load };
-    const hub = dispatchWorld.runDispatchWorld(options);
-    const withoutHub = dispatchWorld.runDispatchWorld({
+    const hub = dispatchSimulation.runDispatchSimulation(options);
+    const withoutHub = dispatchSimulation.runDispatchSimulation({
       ...options,
-      isPlain: true,
+      isFifo: true,
     });
-    expect(hub.refusedWithFree).toBe(0);
-    expect(hub.abandoned).toBeLessThan(hub.asked / 50);
-    expect(hub.inAim).toBeGreaterThan(2 * withoutHub.inAim);
+    expect(hub.refusedWithFreeSlot).toBe(0);
+    expect(hub.abandoned).toBeLessThan(hub.arrived / 50);
+    expect(hub.onTime).toBeGreaterThan(2 * withoutHub.onTime);
     // All slots are in use from the third second to the end of the load.
     const servedAtFullLoad = hub.servedPerSecond.slice(3, 7);
     expect(Math.min(...servedAtFullLoad)).toBeGreaterThan(0.8 * capacity);
@@ -43,22 +43,22 @@
 
 test("immediate retries barely reduce the requests served in time", () => {
   const options = { ...group, seed: 3, load: () => 2 };
-  const baseline = dispatchWorld.runDispatchWorld(options);
-  const retryStorm = dispatchWorld.runDispatchWorld({
+  const baseline = dispatchSimulation.runDispatchSimulation(options);
+  const retryStorm = dispatchSimulation.runDispatchSimulation({
     ...options,
-    impatientShare: 0.5,
+    immediateRetryShare: 0.5,
   });
-  expect(retryStorm.inAim).toBeGreaterThan(0.9 * baseline.inAim);
+  expect(retryStorm.onTime).toBeGreaterThan(0.9 * baseline.onTime);
 });
 
 test("a burst causes no more refusals than its excess over the capacity", () => {
-  const result = dispatchWorld.runDispatchWorld({
+  const result = dispatchSimulation.runDispatchSimulation({
     ...group,
     durationMs: 12_000,
     seed: 4,
     load: (nowMs) => nowMs > 3_000 && nowMs < 6_000 ? 1.7 : 0.8,
   });
-  expect(result.refusedWithFree).toBe(0);
+  expect(result.refusedWithFreeSlot).toBe(0);
   expect(result.abandoned).toBe(0);
   // Excess requests of the 3 s burst, less those that the free fifth of the
   // capacity serves in the 3 s during which callers retry.
--- a/packages/coordination/src/fencing_test.ts
+++ b/packages/coordination/src/fencing_test.ts
@@ -76,7 +76,7 @@
       simulation: clock,
       store,
       random: randomSource,
-      getPlace: () => index,
+      getCandidateIndex: () => index,
       node,
     })
   );
--- a/packages/coordination/src/lease_test.ts
+++ b/packages/coordination/src/lease_test.ts
@@ -25,9 +25,10 @@
       simulation: clock,
       store,
       random: randomSource,
-      getPlace: () => index,
+      getCandidateIndex: () => index,
       node,
-      onStarted: (fencingNumber) => started.push({ index, fencingNumber }),
+      onStartedHolding: (fencingNumber) =>
+        started.push({ index, fencingNumber }),
     })
   );
   const listHolders = () =>
--- a/packages/coordination/src/maps/round_liveness_test.ts
+++ b/packages/coordination/src/maps/round_liveness_test.ts
@@ -1,10 +1,10 @@
 import * as random from "../random.ts";
-import * as mapRounds from "../testing/map_rounds.ts";
+import * as roundModel from "../testing/round_model.ts";
 
 const rankCount = 8;
 const seeds = [1, 2, 3, 4, 5, 6, 7, 8];
 
-const budgets: mapRounds.Budgets = {
+const budgets: roundModel.ActionBudgets = {
   restarts: 0,
   agentRestarts: 0,
   proposals: [20],
@@ -18,20 +18,20 @@
 const writeKinds = ["apply_write", "answer_write"];
 
 interface DriveOptions {
-  readonly model: mapRounds.RoundModel;
+  readonly model: roundModel.RoundModel;
   readonly stepCount: number;
   /** Share of messages that are lost. */
   readonly lossShare: number;
   readonly draw: random.RandomSource;
   /** Injects a fault or a proposal; called before each iteration. */
   readonly intervene?: (
-    state: mapRounds.ModelState,
+    state: roundModel.ModelState,
     step: number,
-  ) => mapRounds.ModelState;
+  ) => roundModel.ModelState;
 }
 
 interface RunResult {
-  readonly end: mapRounds.ModelState;
+  readonly end: roundModel.ModelState;
   /** Iterations in which no rank could run its step. */
   readonly stalledSteps: number;
 }
@@ -77,8 +77,8 @@
   return { end: state, stalledSteps };
 }
 
-function createModel(marginSteps: number): mapRounds.RoundModel {
-  return mapRounds.createRoundModel({
+function createModel(marginSteps: number): roundModel.RoundModel {
+  return roundModel.createRoundModel({
     rankCount,
     marginSteps,
     stepLimit: 1_000,
@@ -88,9 +88,9 @@
 }
 
 function propose(
-  state: mapRounds.ModelState,
-  model: mapRounds.RoundModel,
-): mapRounds.ModelState {
+  state: roundModel.ModelState,
+  model: roundModel.RoundModel,
+): roundModel.ModelState {
   if (state.leaders[0]!.phase !== "idle") return state;
   return model.apply(state, { kind: "propose", leader: 0 });
 }
@@ -105,7 +105,7 @@
       draw: random.createRandomSource(1),
       intervene: (state, step) => step === 5 ? propose(state, model) : state,
     });
-    expect(run.end.used.at(-1)).toBe(1);
+    expect(run.end.usedVersions.at(-1)).toBe(1);
     expect(run.stalledSteps).toBe(0);
     expect(run.end.violation).toBeUndefined();
   });
@@ -120,11 +120,11 @@
         lossShare: 1 / 3,
         draw: random.createRandomSource(seed),
         intervene: (state, step) =>
-          step % 30 === 5 && state.used.at(-1) === 0
+          step % 30 === 5 && state.usedVersions.at(-1) === 0
             ? propose(state, model)
             : state,
       });
-      expect(run.end.used.at(-1)).toBe(1);
+      expect(run.end.usedVersions.at(-1)).toBe(1);
       expect(Math.min(...run.end.nextSteps)).toBeGreaterThan(200);
       expect(run.end.violation).toBeUndefined();
     },
--- a/packages/coordination/src/maps/round_safety_test.ts
+++ b/packages/coordination/src/maps/round_safety_test.ts
@@ -1,12 +1,12 @@
 import fc from "fast-check";
-import * as mapRounds from "../testing/map_rounds.ts";
+import * as roundModel from "../testing/round_model.ts";
 import * as mapSchedule from "./map_schedule.ts";
 import * as roundLeader from "./round_leader.ts";
 import * as roundRank from "./round_rank.ts";
 
 const seed = 6_061;
 
-const noFaults: mapRounds.Budgets = {
+const noFaults: roundModel.ActionBudgets = {
   restarts: 0,
   agentRestarts: 0,
   proposals: [1],
@@ -16,7 +16,7 @@
   duplicates: 0,
 };
 
-const threeRanks: mapRounds.ModelOptions = {
+const threeRanks: roundModel.ModelOptions = {
   rankCount: 3,
   marginSteps: 1,
   stepLimit: 2,
@@ -78,7 +78,7 @@
 /**
  * Advances the round; one settle message to rank 0 stays in flight as a copy.
  */
-function isSetupAction(action: mapRounds.Action): boolean {
+function isSetupAction(action: roundModel.Action): boolean {
   const isSettle = "packet" in action && action.packet.to === "rank" &&
     action.packet.rank === 0 && action.packet.message.kind === "settle";
   if (isSettle) return action.kind === "duplicate";
@@ -88,22 +88,22 @@
 /** Explores all interleavings after the leader has entered a phase. */
 function exploreFrom(
   phase: roundLeader.LeaderPhase,
-  options: mapRounds.ModelOptions,
-): mapRounds.Exploration {
-  const model = mapRounds.createRoundModel(options);
-  const from = mapRounds.driveModel(model, {
+  options: roundModel.ModelOptions,
+): roundModel.Exploration {
+  const model = roundModel.createRoundModel(options);
+  const from = roundModel.driveModel(model, {
     from: model.initial,
-    isWanted: isSetupAction,
+    isAllowed: isSetupAction,
     isReached: ({ leaders }) => leaders[0]!.phase === phase,
   });
-  return mapRounds.exploreModel(model, { from, stateLimit: 400_000 });
+  return roundModel.exploreModel(model, { from, stateLimit: 400_000 });
 }
 
 /** Applies the actions that `picks` selects, until a violation occurs. */
 function runPicks(
-  model: mapRounds.RoundModel,
+  model: roundModel.RoundModel,
   picks: readonly number[],
-): mapRounds.ModelState {
+): roundModel.ModelState {
   let state = model.initial;
   for (const pick of picks) {
     const actions = model.listActions(state);
@@ -141,15 +141,15 @@
 }
 
 function checkRandomly(
-  variant: Partial<mapRounds.ModelOptions>,
+  variant: Partial<roundModel.ModelOptions>,
   { runs, steps }: { readonly runs: number; readonly steps: number },
 ): RandomCheck {
   let switches = 0;
   let violation: string | undefined;
   const property = fc.property(faultyGroupOptions, picks, (options, stream) => {
-    const model = mapRounds.createRoundModel({ ...options, ...variant });
+    const model = roundModel.createRoundModel({ ...options, ...variant });
     const endState = runPicks(model, [...stream.take(steps)]);
-    switches += new Set(endState.used).size - 1;
+    switches += new Set(endState.usedVersions).size - 1;
     violation ??= endState.violation;
     return endState.violation === undefined;
   });
@@ -163,9 +163,12 @@
 
 describe("all interleavings of a switch round of three ranks", () => {
   test("use one map in each step without faults", () => {
-    const model = mapRounds.createRoundModel(threeRanks);
+    const model = roundModel.createRoundModel(threeRanks);
     const from = model.initial;
-    const result = mapRounds.exploreModel(model, { from, stateLimit: 400_000 });
+    const result = roundModel.exploreModel(model, {
+      from,
+      stateLimit: 400_000,
+    });
     expect(result).toMatchObject({
       violation: undefined,
       isComplete: true,
--- a/packages/coordination/src/maps/switch_round_test.ts
+++ b/packages/coordination/src/maps/switch_round_test.ts
@@ -1,20 +1,20 @@
-import * as orderedGroup from "../testing/ordered_group.ts";
+import * as groupSimulation from "../testing/group_simulation.ts";
 
-const noFaults: orderedGroup.GroupFaults = {
+const noFaults: groupSimulation.GroupFaults = {
   lateOrder: 0,
   lostReply: 0,
   lostOutcome: 0,
-  freeze: 0,
-  restart: 0,
+  leaderFreeze: 0,
+  leaderRestart: 0,
   newEpoch: 0,
   standstill: 0,
 };
-const frequentFaults: orderedGroup.GroupFaults = {
+const frequentFaults: groupSimulation.GroupFaults = {
   lateOrder: 0.2,
   lostReply: 0.1,
   lostOutcome: 0.03,
-  freeze: 0.01,
-  restart: 0.002,
+  leaderFreeze: 0.01,
+  leaderRestart: 0.002,
   newEpoch: 0.0005,
   standstill: 0.002,
 };
@@ -32,13 +32,13 @@
   steps: 1_500,
   passShare: 0.3,
   lateTaskShare: 0.005,
-  turnSteps: 150,
+  idlePeriodSteps: 150,
   faults: {
     lateOrder: 0.5,
     lostReply: 0.1,
     lostOutcome: 0.05,
-    freeze: 0.02,
-    restart: 0,
+    leaderFreeze: 0.02,
+    leaderRestart: 0,
     newEpoch: 0,
     standstill: 0,
   },
@@ -48,14 +48,14 @@
 
 function runSeeds(
   count: number,
-  options: Omit<orderedGroup.GroupOptions, "seed">,
+  options: Omit<groupSimulation.GroupSimulationOptions, "seed">,
   firstSeed = 1,
 ): RunTotals {
   const violations: string[] = [];
   let switches = 0;
   let passes = 0;
   for (let seed = firstSeed; seed < firstSeed + count; seed += 1) {
-    const run = orderedGroup.runOrderedGroup({ ...options, seed });
+    const run = groupSimulation.runGroupSimulation({ ...options, seed });
     if (run.violation !== undefined) {
       violations.push(`seed ${seed}: ${run.violation}`);
     }
@@ -123,7 +123,7 @@
 
 const unsafeVariants: readonly {
   readonly name: string;
-  readonly variant: orderedGroup.GroupVariant;
+  readonly variant: groupSimulation.ProtocolVariant;
 }[] = [
   {
     name: "continues before all ranks are armed",
@@ -162,7 +162,7 @@
   },
   {
     name: "continues without a rank other than the rank of the leader",
-    variant: { getLeader: (version) => (version + 1) % 3 },
+    variant: { getLeaderRank: (version) => (version + 1) % 3 },
   },
   {
     name: "lets two leaders use one version for two maps",
--- a/packages/coordination/src/testing/dispatch_world.ts
+++ b/packages/coordination/src/testing/dispatch_simulation.ts
@@ -8,7 +8,7 @@
 import type * as work from "../dispatch/work.ts";
 import * as workHub from "../dispatch/work_hub.ts";
 
-export interface WorldOptions {
+export interface DispatchSimulationOptions {
   readonly seed: number;
   readonly rankCount: number;
   readonly slots: number;
@@ -18,26 +18,26 @@
   readonly serviceMs: number;
   readonly durationMs: number;
   /** Share of callers that come back at once, whatever they are told. */
-  readonly impatientShare?: number;
+  readonly immediateRetryShare?: number;
   /** Decides without a hub, for comparison: first come, first served. */
-  readonly isPlain?: boolean;
+  readonly isFifo?: boolean;
 }
 
-export interface WorldResult {
+export interface DispatchSimulationResult {
   /** Requests that began within their aim, of all that addCallerd. */
-  readonly inAim: number;
+  readonly onTime: number;
   readonly late: number;
   /** Requests that were given up without an answer. */
   readonly abandoned: number;
   /** Requests that ended with a refusal. */
   readonly refused: number;
-  readonly asked: number;
+  readonly arrived: number;
   /** Refusals while a place was free. */
-  readonly refusedWithFree: number;
+  readonly refusedWithFreeSlot: number;
   /** Most requests that one rank had at once. */
-  readonly mostAtRank: number;
+  readonly maxRunningPerRank: number;
   /** Longest time after which a refusal was told, in milliseconds. */
-  readonly slowestRefusalMs: number;
+  readonly maxRefusalDelayMs: number;
   /** Requests that were served in each second. */
   readonly servedPerSecond: readonly number[];
 }
@@ -62,7 +62,9 @@
 const impatientReturns = 4;
 
 /** Plays one run. */
-export function runDispatchWorld(options: WorldOptions): WorldResult {
+export function runDispatchSimulation(
+  options: DispatchSimulationOptions,
+): DispatchSimulationResult {
   const draw = random.createRandomSource(options.seed);
   const manual = clock.createManualClock();
   const hub = workHub.createWorkHub({ clock: manual, random: draw });
@@ -81,14 +83,14 @@
   const events: { atMs: number; run: () => void }[] = [];
   const served: number[] = [];
   const result = {
-    inAim: 0,
+    onTime: 0,
     late: 0,
     abandoned: 0,
     refused: 0,
-    asked: 0,
-    refusedWithFree: 0,
-    mostAtRank: 0,
-    slowestRefusalMs: 0,
+    arrived: 0,
+    refusedWithFreeSlot: 0,
+    maxRunningPerRank: 0,
+    maxRefusalDelayMs: 0,
   };
   let keys = 0;
   hub.setUpstreams(places);
@@ -134,7 +136,7 @@
   }
 
   function report(entry: number): void {
-    if (options.isPlain) return grantPlain();
+    if (options.isFifo) return grantPlain();
     const decided = [...hub.receive(buildState(entry)).values()];
     // One decision of the hub: its grants and denials belong together.
     for (const { key, upstreamId } of decided.flatMap((one) => one.grants)) {
@@ -164,9 +166,9 @@
     running.set(key, { upstreamId, entry: caller.entry });
     const here = [...running.values()]
       .filter((one) => one.upstreamId === upstreamId).length;
-    result.mostAtRank = Math.max(result.mostAtRank, here);
+    result.maxRunningPerRank = Math.max(result.maxRunningPerRank, here);
     const isInAim = manual.now() - caller.firstAtMs <= aimMs;
-    result.inAim += isInAim ? 1 : 0;
+    result.onTime += isInAim ? 1 : 0;
     result.late += isInAim ? 0 : 1;
     const lastsMs = options.serviceMs * (0.5 + draw());
     schedule(lastsMs, () => {
@@ -179,9 +181,9 @@
 
   function refuse(key: string, open: Open, retryAfterMs: number): void {
     waiting.delete(key);
-    if (countFree() > 0) result.refusedWithFree += 1;
+    if (countFree() > 0) result.refusedWithFreeSlot += 1;
     const heldMs = manual.now() - open.askedAtMs;
-    result.slowestRefusalMs = Math.max(result.slowestRefusalMs, heldMs);
+    result.maxRefusalDelayMs = Math.max(result.maxRefusalDelayMs, heldMs);
     const { caller } = open;
     const limit = caller.isImpatient ? impatientReturns : maxReturns;
     const delayMs = caller.isImpatient ? 5 : retryAfterMs;
@@ -213,12 +215,12 @@
     if (manual.now() < options.durationMs) {
       schedule(-Math.log(1 - draw()) / rate, addCaller);
     }
-    result.asked += 1;
+    result.arrived += 1;
     ask({
-      id: result.asked,
+      id: result.arrived,
       entry: Math.floor(draw() * options.entryCount),
       firstAtMs: manual.now(),
-      isImpatient: draw() < (options.impatientShare ?? 0),
+      isImpatient: draw() < (options.immediateRetryShare ?? 0),
       returns: 0,
     });
   }
--- a/packages/coordination/src/testing/ordered_group.ts
+++ b/packages/coordination/src/testing/group_simulation.ts
@@ -14,15 +14,15 @@
   readonly lateOrder: number;
   readonly lostReply: number;
   readonly lostOutcome: number;
-  readonly freeze: number;
-  readonly restart: number;
+  readonly leaderFreeze: number;
+  readonly leaderRestart: number;
   readonly newEpoch: number;
   /** A machine stands still: its leader and its rank's answers to all. */
   readonly standstill: number;
 }
 
 /** Unsafe changes that the checks must find. */
-export interface GroupVariant {
+export interface ProtocolVariant {
   /** Outcome of an order, in place of the true one. */
   readonly replaceOutcome?: (
     order: rankOrders.RankOrder,
@@ -31,12 +31,12 @@
   /** Whether an order is sent at all; one that is not counts as done. */
   readonly isSent?: (order: rankOrders.RankOrder) => boolean;
   readonly createVersion?: (known: number) => number;
-  readonly getLeader?: (version: number) => number;
+  readonly getLeaderRank?: (version: number) => number;
   /** True when a leader may hold one pass twice. */
   readonly forgetsHolds?: boolean;
 }
 
-export interface GroupOptions {
+export interface GroupSimulationOptions {
   readonly seed: number;
   readonly rankCount: number;
   readonly leaderCount: number;
@@ -51,16 +51,16 @@
    * Steps after which a busy group turns idle, and an idle one busy; an idle
    * group begins no passes. Default: always busy.
    */
-  readonly turnSteps?: number;
+  readonly idlePeriodSteps?: number;
   /**
    * Share of the steps that carry a late order out.
    * @default 0.04
    */
   readonly lateTaskShare?: number;
-  readonly variant?: GroupVariant;
+  readonly variant?: ProtocolVariant;
 }
 
-export interface GroupRun {
+export interface GroupSimulationResult {
   /** What broke the promise; undefined when nothing did. */
   readonly violation: string | undefined;
   readonly switches: number;
@@ -100,7 +100,9 @@
 const defaultLateTaskShare = 0.04;
 
 /** Runs one group; returns what was seen. */
-export function runOrderedGroup(options: GroupOptions): GroupRun {
+export function runGroupSimulation(
+  options: GroupSimulationOptions,
+): GroupSimulationResult {
   const draw = random.createRandomSource(options.seed);
   const { faults, variant = {}, passShare = defaultPassShare } = options;
   const lateTaskShare = options.lateTaskShare ?? defaultLateTaskShare;
@@ -320,7 +322,7 @@
       computeLeadPasses: () => leadPasses,
       lastHeldStep: variant.forgetsHolds ? 0 : leader.lastHeldStep,
       createVersion: variant.createVersion ?? leader.createVersion,
-      getLeaderRank: variant.getLeader ?? mapVersions.getLeaderRank,
+      getLeaderRank: variant.getLeaderRank ?? mapVersions.getLeaderRank,
     });
   }
 
@@ -380,8 +382,8 @@
       leader.frozenFor -= 1;
       return;
     }
-    if (isLikely(faults.freeze)) leader.frozenFor = 60;
-    if (isLikely(faults.restart)) {
+    if (isLikely(faults.leaderFreeze)) leader.frozenFor = 60;
+    if (isLikely(faults.leaderRestart)) {
       leader.tasks = [];
       leader.round = undefined;
       leader.lastHeldStep = step + switchRound.maxAheadPasses;
@@ -405,7 +407,7 @@
   for (let count = 0; count < options.steps; count += 1) {
     nowMs += 1;
     const chance = draw();
-    const turn = Math.floor(count / (options.turnSteps ?? Infinity));
+    const turn = Math.floor(count / (options.idlePeriodSteps ?? Infinity));
     if (chance < passShare) {
       if (turn % 2 === 0) beginPass();
     } else if (chance < passShare + lateTaskShare) {
--- a/packages/coordination/src/testing/lease_node.ts
+++ b/packages/coordination/src/testing/lease_node.ts
@@ -9,9 +9,9 @@
   readonly simulation: simulation.Simulation;
   readonly store: simulation.SimulatedStore;
   readonly random: random.RandomSource;
-  readonly getPlace: () => number;
+  readonly getCandidateIndex: () => number;
   readonly node: simulation.SimulatedNode;
-  readonly onStarted?: (fencingNumber: number) => void;
+  readonly onStartedHolding?: (fencingNumber: number) => void;
 }
 
 /** Starts the machine on the node; returns it for inspection. */
@@ -25,7 +25,7 @@
     createId: () => `${options.id}-${nextId++}`,
     holder: options.id,
     address: `${options.id}:1`,
-    getCandidateIndex: options.getPlace,
+    getCandidateIndex: options.getCandidateIndex,
   });
 
   function setTimer(name: lease.TimerName, delayMs: number): void {
@@ -54,7 +54,7 @@
       case "set_timer":
         return setTimer(effect.name, effect.delayMs);
       case "started_holding":
-        return options.onStarted?.(effect.fencingNumber);
+        return options.onStartedHolding?.(effect.fencingNumber);
       case "stopped_holding":
         return;
     }
--- a/packages/coordination/src/testing/map_rounds.ts
+++ b/packages/coordination/src/testing/round_model.ts
@@ -32,7 +32,7 @@
 }
 
 /** How often a disturbance may still happen. */
-export interface Budgets {
+export interface ActionBudgets {
   readonly restarts: number;
   readonly agentRestarts: number;
   /** Switches that each leader may propose. */
@@ -52,9 +52,9 @@
   readonly version: number;
   readonly packets: readonly Packet[];
   readonly writes: readonly PendingWrite[];
-  readonly budgets: Budgets;
+  readonly budgets: ActionBudgets;
   /** Map version that the first rank used in each step. */
-  readonly used: readonly number[];
+  readonly usedVersions: readonly number[];
   /** Set once two ranks have used different maps in one step. */
   readonly violation: string | undefined;
 }
@@ -82,7 +82,7 @@
   readonly stepLimit: number;
   /** With a barrier no rank starts a step before all have run the last one. */
   readonly hasBarrier: boolean;
-  readonly budgets: Budgets;
+  readonly budgets: ActionBudgets;
   /**
    * Starts without a record and with closed engines.
    * @default false
@@ -125,7 +125,7 @@
     packets: [],
     writes: [],
     budgets: options.budgets,
-    used: [],
+    usedVersions: [],
     violation: undefined,
   };
 
@@ -253,7 +253,7 @@
   function runStep(state: ModelState, rank: number): ModelState {
     const step = state.nextSteps[rank]!;
     const map = mapSchedule.admitStep(state.gates[rank]!, step)!;
-    const expected = state.used[step] ?? map.version;
+    const expected = state.usedVersions[step] ?? map.version;
     const violation = expected === map.version
       ? state.violation
       : `Rank ${rank} used map ${map.version} in step ${step}; another ` +
@@ -261,7 +261,9 @@
     return {
       ...state,
       nextSteps: state.nextSteps.with(rank, step + 1),
-      used: Object.assign([...state.used], { [step]: expected }),
+      usedVersions: Object.assign([...state.usedVersions], {
+        [step]: expected,
+      }),
       violation,
     };
   }
@@ -427,13 +429,13 @@
   model: RoundModel,
   options: {
     readonly from: ModelState;
-    readonly isWanted: (action: Action) => boolean;
+    readonly isAllowed: (action: Action) => boolean;
     readonly isReached: (state: ModelState) => boolean;
   },
 ): ModelState {
   let state = options.from;
   while (!options.isReached(state)) {
-    const action = model.listActions(state).find(options.isWanted);
+    const action = model.listActions(state).find(options.isAllowed);
     if (action === undefined) throw new Error("No wanted action is left");
     state = model.apply(state, action);
   }
@@ -464,7 +466,7 @@
       const hash = hashState(next);
       if (seen.has(hash)) continue;
       seen.add(hash);
-      highestVersion = Math.max(highestVersion, ...next.used);
+      highestVersion = Math.max(highestVersion, ...next.usedVersions);
       const { violation } = next;
       const stateCount = seen.size;
       if (violation !== undefined || stateCount >= options.stateLimit) {
@@ -541,7 +543,7 @@
   return [
     ...leaders,
     ...ranks.sort(),
-    state.used.join(),
+    state.usedVersions.join(),
     state.version,
     getKey(state.record ?? {}),
     ...state.writes.map(getKey).sort(),
