--- a/packages/coordination/src/testing/dispatch_simulation.ts
+++ b/packages/coordination/src/testing/dispatch_simulation.ts
@@ -1,7 +1,7 @@
 /**
- * Plays load on a group of ranks behind several entries: callers that leave,
- * come back after refusals, or repeat at once; places that are granted by a
- * policy. Time moves in events; a seed draws everything.
+ * Discrete-event simulation of load on a group of ranks behind several entries.
+ * The hub grants slots to requests; callers abandon requests after a timeout
+ * and retry refused ones. All random choices derive from the seed.
  */
 import * as clock from "../clock.ts";
 import * as random from "../random.ts";
@@ -13,32 +13,35 @@
   readonly rankCount: number;
   readonly slots: number;
   readonly entryCount: number;
-  /** Arrivals of new requests, over what the places can serve. */
+  /** Returns the arrival rate of requests relative to the capacity. */
   readonly load: (nowMs: number) => number;
+  /** Mean service time of a request in milliseconds. */
   readonly serviceMs: number;
   readonly durationMs: number;
-  /** Share of callers that come back at once, whatever they are told. */
+  /** Share of callers that retry at once and ignore `retryAfterMs`. */
   readonly immediateRetryShare?: number;
-  /** Decides without a hub, for comparison: first come, first served. */
+  /** Grants slots in order of arrival, without a hub, as a baseline. */
   readonly isFifo?: boolean;
 }
 
 export interface DispatchSimulationResult {
-  /** Requests that began within their aim, of all that addCallerd. */
+  /** Requests that started within the latency target. */
   readonly onTime: number;
+  /** Requests that started after the latency target. */
   readonly late: number;
-  /** Requests that were given up without an answer. */
+  /** Requests that the caller abandoned before a grant or a refusal. */
   readonly abandoned: number;
-  /** Requests that ended with a refusal. */
+  /** Requests that were refused and not retried again. */
   readonly refused: number;
+  /** All requests; a retry does not count as another one. */
   readonly arrived: number;
-  /** Refusals while a place was free. */
+  /** Refusals while a slot was free. */
   readonly refusedWithFreeSlot: number;
-  /** Most requests that one rank had at once. */
+  /** Highest number of concurrent requests on one rank. */
   readonly maxRunningPerRank: number;
-  /** Longest time after which a refusal was told, in milliseconds. */
+  /** Longest wait of a request before its refusal, in milliseconds. */
   readonly maxRefusalDelayMs: number;
-  /** Requests that were served in each second. */
+  /** Number of requests completed in each second. */
   readonly servedPerSecond: readonly number[];
 }
 
@@ -46,29 +49,31 @@
   readonly id: number;
   readonly entry: number;
   readonly firstAtMs: number;
-  readonly isImpatient: boolean;
-  returns: number;
+  /** Whether the caller ignores `retryAfterMs`. */
+  readonly retriesAtOnce: boolean;
+  retries: number;
 }
 
-interface Open {
+interface PendingRequest {
   readonly caller: Caller;
-  readonly askedAtMs: number;
+  readonly sentAtMs: number;
 }
 
-const aimMs = 300;
-const patienceMs = 1_800;
-const totalPatienceMs = 8_000;
-const maxReturns = 1;
-const impatientReturns = 4;
+const latencyTargetMs = 300;
+/** Time after which a caller abandons a pending request. */
+const callerTimeoutMs = 1_800;
+const deadlineMs = 8_000;
+const maxRetries = 1;
+const maxImmediateRetries = 4;
 
-/** Plays one run. */
+/** Runs the simulation until no events are left. */
 export function runDispatchSimulation(
   options: DispatchSimulationOptions,
 ): DispatchSimulationResult {
   const draw = random.createRandomSource(options.seed);
   const manual = clock.createManualClock();
   const hub = workHub.createWorkHub({ clock: manual, random: draw });
-  const places: readonly work.UpstreamSpec[] = Array.from(
+  const upstreams: readonly work.UpstreamSpec[] = Array.from(
     { length: options.rankCount },
     (_, rank) => ({
       id: `r${rank}`,
@@ -77,7 +82,7 @@
       slots: options.slots,
     }),
   );
-  const waiting = new Map<string, Open>();
+  const waiting = new Map<string, PendingRequest>();
   const running = new Map<string, { upstreamId: string; entry: number }>();
   const sequences = Array.from({ length: options.entryCount }, () => 0);
   const events: { atMs: number; run: () => void }[] = [];
@@ -92,8 +97,8 @@
     maxRunningPerRank: 0,
     maxRefusalDelayMs: 0,
   };
-  let keys = 0;
-  hub.setUpstreams(places);
+  let lastKey = 0;
+  hub.setUpstreams(upstreams);
 
   function schedule(delayMs: number, run: () => void): void {
     events.push({ atMs: manual.now() + delayMs, run });
@@ -108,16 +113,16 @@
       sequence: sequences[entry]!,
       waiting: [...waiting]
         .filter(([, { caller }]) => caller.entry === entry)
-        .map(([key, { caller, askedAtMs }]) => ({
+        .map(([key, { caller, sentAtMs }]) => ({
           key,
           pool: "p",
           priority: 1,
           workspace: `w${caller.id % 5}`,
           promptTokens: 800,
           answerTokens: 150,
-          ageMs: nowMs - askedAtMs,
-          aimLeftMs: caller.firstAtMs + aimMs - nowMs,
-          leftMs: caller.firstAtMs + totalPatienceMs - nowMs,
+          ageMs: nowMs - sentAtMs,
+          aimLeftMs: caller.firstAtMs + latencyTargetMs - nowMs,
+          leftMs: caller.firstAtMs + deadlineMs - nowMs,
           avoided: [],
         })),
       running: [...running].filter(([, one]) => one.entry === entry)
@@ -136,42 +141,52 @@
   }
 
   function report(entry: number): void {
-    if (options.isFifo) return grantPlain();
-    const decided = [...hub.receive(buildState(entry)).values()];
-    // One decision of the hub: its grants and denials belong together.
-    for (const { key, upstreamId } of decided.flatMap((one) => one.grants)) {
-      const open = waiting.get(key);
-      if (open !== undefined) start(key, open, upstreamId);
+    if (options.isFifo) return grantFifo();
+    const decisions = [...hub.receive(buildState(entry)).values()];
+    // Applies all grants of a decision before its denials; otherwise, the slots
+    // granted by this decision would count as free at its denials.
+    for (const { key, upstreamId } of decisions.flatMap((one) => one.grants)) {
+      const request = waiting.get(key);
+      if (request !== undefined) start(key, request, upstreamId);
     }
-    for (const { key, retryAfterMs } of decided.flatMap((one) => one.denials)) {
-      const open = waiting.get(key);
-      if (open !== undefined) refuse(key, open, retryAfterMs);
+    for (
+      const { key, retryAfterMs } of decisions.flatMap((one) => one.denials)
+    ) {
+      const request = waiting.get(key);
+      if (request !== undefined) refuse(key, request, retryAfterMs);
     }
   }
 
-  /** Grants in the order of arrival, and refuses nothing. */
-  function grantPlain(): void {
-    for (const [key, open] of waiting) {
-      const free = places.find(({ id }) =>
+  /** Grants slots in order of arrival and refuses no request. */
+  function grantFifo(): void {
+    for (const [key, request] of waiting) {
+      const free = upstreams.find(({ id }) =>
         [...running.values()].filter(({ upstreamId }) => upstreamId === id)
           .length < options.slots
       );
       if (free === undefined) return;
-      start(key, open, free.id);
+      start(key, request, free.id);
     }
   }
 
-  function start(key: string, { caller }: Open, upstreamId: string): void {
+  function start(
+    key: string,
+    { caller }: PendingRequest,
+    upstreamId: string,
+  ): void {
     waiting.delete(key);
     running.set(key, { upstreamId, entry: caller.entry });
-    const here = [...running.values()]
+    const runningOnRank = [...running.values()]
       .filter((one) => one.upstreamId === upstreamId).length;
-    result.maxRunningPerRank = Math.max(result.maxRunningPerRank, here);
-    const isInAim = manual.now() - caller.firstAtMs <= aimMs;
-    result.onTime += isInAim ? 1 : 0;
-    result.late += isInAim ? 0 : 1;
-    const lastsMs = options.serviceMs * (0.5 + draw());
-    schedule(lastsMs, () => {
+    result.maxRunningPerRank = Math.max(
+      result.maxRunningPerRank,
+      runningOnRank,
+    );
+    const isOnTime = manual.now() - caller.firstAtMs <= latencyTargetMs;
+    result.onTime += isOnTime ? 1 : 0;
+    result.late += isOnTime ? 0 : 1;
+    const durationMs = options.serviceMs * (0.5 + draw());
+    schedule(durationMs, () => {
       running.delete(key);
       const second = Math.floor(manual.now() / 1_000);
       served[second] = (served[second] ?? 0) + 1;
@@ -179,29 +194,33 @@
     });
   }
 
-  function refuse(key: string, open: Open, retryAfterMs: number): void {
+  function refuse(
+    key: string,
+    request: PendingRequest,
+    retryAfterMs: number,
+  ): void {
     waiting.delete(key);
     if (countFree() > 0) result.refusedWithFreeSlot += 1;
-    const heldMs = manual.now() - open.askedAtMs;
-    result.maxRefusalDelayMs = Math.max(result.maxRefusalDelayMs, heldMs);
-    const { caller } = open;
-    const limit = caller.isImpatient ? impatientReturns : maxReturns;
-    const delayMs = caller.isImpatient ? 5 : retryAfterMs;
-    const isOver = caller.returns >= limit ||
-      manual.now() + delayMs > caller.firstAtMs + totalPatienceMs / 3;
-    if (isOver) {
+    const waitedMs = manual.now() - request.sentAtMs;
+    result.maxRefusalDelayMs = Math.max(result.maxRefusalDelayMs, waitedMs);
+    const { caller } = request;
+    const limit = caller.retriesAtOnce ? maxImmediateRetries : maxRetries;
+    const delayMs = caller.retriesAtOnce ? 5 : retryAfterMs;
+    const isFinal = caller.retries >= limit ||
+      manual.now() + delayMs > caller.firstAtMs + deadlineMs / 3;
+    if (isFinal) {
       result.refused += 1;
       return;
     }
-    caller.returns += 1;
-    schedule(delayMs, () => ask(caller));
+    caller.retries += 1;
+    schedule(delayMs, () => sendRequest(caller));
   }
 
-  function ask(caller: Caller): void {
-    keys += 1;
-    const key = `k${keys}`;
-    waiting.set(key, { caller, askedAtMs: manual.now() });
-    schedule(patienceMs, () => {
+  function sendRequest(caller: Caller): void {
+    lastKey += 1;
+    const key = `k${lastKey}`;
+    waiting.set(key, { caller, sentAtMs: manual.now() });
+    schedule(callerTimeoutMs, () => {
       if (!waiting.delete(key)) return;
       result.abandoned += 1;
       report(caller.entry);
@@ -216,12 +235,12 @@
       schedule(-Math.log(1 - draw()) / rate, addCaller);
     }
     result.arrived += 1;
-    ask({
+    sendRequest({
       id: result.arrived,
       entry: Math.floor(draw() * options.entryCount),
       firstAtMs: manual.now(),
-      isImpatient: draw() < (options.immediateRetryShare ?? 0),
-      returns: 0,
+      retriesAtOnce: draw() < (options.immediateRetryShare ?? 0),
+      retries: 0,
     });
   }
 
--- a/packages/coordination/src/testing/group_simulation.ts
+++ b/packages/coordination/src/testing/group_simulation.ts
@@ -1,7 +1,7 @@
 /**
- * A group of ranks that obeys orders as engines do, with leaders that switch
- * its map: replies get lost, orders are carried out late, leaders freeze and
- * start anew. Every step is drawn from a seed.
+ * Simulation of a group of ranks whose leaders run switch rounds, with faults:
+ * lost replies, orders that take effect late, leaders that freeze or restart,
+ * stalled machines and new epochs. All random choices derive from the seed.
  */
 import * as mapVersions from "../maps/map_versions.ts";
 import * as orderSettler from "../maps/order_settler.ts";
@@ -9,30 +9,34 @@
 import * as switchRound from "../maps/switch_round.ts";
 import * as random from "../random.ts";
 
-/** Faults as probabilities of each message or step. */
+/** Probability of each fault for each message or simulation step. */
 export interface GroupFaults {
+  /** An order takes effect late, after the leader got no reply to it. */
   readonly lateOrder: number;
+  /** An order takes effect, but its reply is lost. */
   readonly lostReply: number;
+  /** The outcome of an order does not reach the round. */
   readonly lostOutcome: number;
   readonly leaderFreeze: number;
   readonly leaderRestart: number;
+  /** The group starts again with a new epoch. */
   readonly newEpoch: number;
-  /** A machine stands still: its leader and its rank's answers to all. */
+  /** A machine stalls: its leader does nothing and its rank does not answer. */
   readonly standstill: number;
 }
 
-/** Unsafe changes that the checks must find. */
+/** Changes that make the protocol unsafe, to verify that tests detect them. */
 export interface ProtocolVariant {
-  /** Outcome of an order, in place of the true one. */
+  /** Returns the outcome that the round receives for an order. */
   readonly replaceOutcome?: (
     order: rankOrders.RankOrder,
     outcome: rankOrders.OrderOutcome,
   ) => rankOrders.OrderOutcome;
-  /** Whether an order is sent at all; one that is not counts as done. */
+  /** Whether an order is sent; an order that is not counts as done. */
   readonly isSent?: (order: rankOrders.RankOrder) => boolean;
-  readonly createVersion?: (known: number) => number;
+  readonly createVersion?: (knownVersion: number) => number;
   readonly getLeaderRank?: (version: number) => number;
-  /** True when a leader may hold one pass twice. */
+  /** True if a leader may hold a pass twice, because it records no holds. */
   readonly forgetsHolds?: boolean;
 }
 
@@ -40,20 +44,22 @@
   readonly seed: number;
   readonly rankCount: number;
   readonly leaderCount: number;
+  /** Length of the simulation. */
   readonly steps: number;
   readonly faults: GroupFaults;
   /**
-   * Share of the steps that begin a pass; low for a group that is nearly idle.
+   * Share of the steps that begin a forward pass; low if the group is almost
+   * idle.
    * @default 0.12
    */
   readonly passShare?: number;
   /**
-   * Steps after which a busy group turns idle, and an idle one busy; an idle
-   * group begins no passes. Default: always busy.
+   * Length of the alternating busy and idle periods in steps. The group begins
+   * no passes while it is idle. Default: always busy.
    */
   readonly idlePeriodSteps?: number;
   /**
-   * Share of the steps that carry a late order out.
+   * Share of the steps that execute a late order.
    * @default 0.04
    */
   readonly lateTaskShare?: number;
@@ -61,8 +67,9 @@
 }
 
 export interface GroupSimulationResult {
-  /** What broke the promise; undefined when nothing did. */
+  /** First pass in which ranks used different maps; undefined if none. */
   readonly violation: string | undefined;
+  /** Rounds that ended with a switch. */
   readonly switches: number;
   readonly passes: number;
 }
@@ -73,11 +80,11 @@
   prepared:
     | { readonly version: number; readonly layers: rankOrders.MapLayers }
     | undefined;
-  highest: number;
+  highestVersion: number;
   armed: rankOrders.ArmedSwitch | undefined;
-  held: number | undefined;
-  /** Steps of the run for which its machine stands still. */
-  stillFor: number;
+  heldStep: number | undefined;
+  /** Remaining simulation steps for which the machine is stalled. */
+  stallLeft: number;
 }
 
 type Task = () => void;
@@ -88,25 +95,25 @@
   tasks: Task[];
   round: switchRound.SwitchRound | undefined;
   lastHeldStep: number;
-  /** Steps of the run for which it does nothing. */
+  /** Remaining simulation steps for which the leader does nothing. */
   frozenFor: number;
 }
 
 const emptyMap: rankOrders.MapLayers = [[[0]]];
-const maxSendings = 4;
+const maxSendAttempts = 4;
 const leadPasses = 2;
-const standstillSteps = 200;
+const stallSteps = 200;
 const defaultPassShare = 0.12;
 const defaultLateTaskShare = 0.04;
 
-/** Runs one group; returns what was seen. */
+/** Runs the simulation until its last step or the first violation. */
 export function runGroupSimulation(
   options: GroupSimulationOptions,
 ): GroupSimulationResult {
   const draw = random.createRandomSource(options.seed);
   const { faults, variant = {}, passShare = defaultPassShare } = options;
   const lateTaskShare = options.lateTaskShare ?? defaultLateTaskShare;
-  const lateTasks: Task[] = [];
+  const lateOrders: Task[] = [];
   let nowMs = 0;
   const leaders: Leader[] = Array.from(
     { length: options.leaderCount },
@@ -123,7 +130,7 @@
   let step = 0;
   let passes = 0;
   let switches = 0;
-  let drawnMaps = 0;
+  let createdMaps = 0;
   let violation: string | undefined;
   let ranks: Rank[] = [];
 
@@ -139,10 +146,10 @@
       sequence: 0,
       map: { version: 0, layers: emptyMap },
       prepared: undefined,
-      highest: 0,
+      highestVersion: 0,
       armed: undefined,
-      held: undefined,
-      stillFor: 0,
+      heldStep: undefined,
+      stallLeft: 0,
     }));
   }
 
@@ -161,11 +168,11 @@
       mapVersion: rank.map.version,
       preparedVersion: rank.prepared?.version,
       armed: rank.armed,
-      heldStep: rank.held,
+      heldStep: rank.heldStep,
     };
   }
 
-  /** Carries an order out, as engines were seen to do. */
+  /** Executes an order with the observed behaviour of engines. */
   function applyOrder(
     index: number,
     order: rankOrders.RankOrder,
@@ -176,11 +183,11 @@
     switch (order.kind) {
       case "prepare":
         if (rank.prepared?.version === order.version) return "accepted";
-        if (order.version <= rank.highest || rank.armed !== undefined) {
+        if (order.version <= rank.highestVersion || rank.armed !== undefined) {
           return "refused";
         }
         rank.prepared = { version: order.version, layers: order.layers };
-        rank.highest = order.version;
+        rank.highestVersion = order.version;
         return "accepted";
       case "arm":
         if (rank.prepared?.version !== order.version || step >= order.step) {
@@ -194,13 +201,13 @@
         return "accepted";
       case "hold":
         if (step >= order.step) return "refused";
-        if (rank.held !== undefined && rank.held !== order.step) {
+        if (rank.heldStep !== undefined && rank.heldStep !== order.step) {
           return "refused";
         }
-        rank.held = order.step;
+        rank.heldStep = order.step;
         return "accepted";
       case "go":
-        if (rank.held === order.step) rank.held = undefined;
+        if (rank.heldStep === order.step) rank.heldStep = undefined;
         return "accepted";
     }
   }
@@ -212,16 +219,16 @@
       readonly orderEpoch: number;
     },
   ): rankOrders.OrderReply {
-    if (ranks[index]!.stillFor > 0) return "unknown";
+    if (ranks[index]!.stallLeft > 0) return "unknown";
     if (isLikely(faults.lateOrder)) {
-      lateTasks.push(() => applyOrder(index, order, orderEpoch));
+      lateOrders.push(() => applyOrder(index, order, orderEpoch));
       return "unknown";
     }
     const reply = applyOrder(index, order, orderEpoch);
     return isLikely(faults.lostReply) ? "unknown" : reply;
   }
 
-  /** Settles an order as the rank's agent would, one step a task. */
+  /** Settles an order as the agent of the rank does, one effect per task. */
   function settleOrder(
     leader: Leader,
     index: number,
@@ -234,17 +241,17 @@
     const settler = orderSettler.createOrderSettler({
       order,
       epoch: orderEpoch,
-      maxSendAttempts: maxSendings,
+      maxSendAttempts,
     });
-    function carryOut(
+    function executeEffects(
       effects: readonly orderSettler.OrderSettlerEffect[],
     ): void {
       for (const effect of effects) {
         switch (effect.kind) {
           case "read":
             leader.tasks.push(() =>
-              carryOut(settler.handle(
-                ranks[index]!.stillFor > 0
+              executeEffects(settler.handle(
+                ranks[index]!.stallLeft > 0
                   ? { kind: "deadline" }
                   : { kind: "state", state: readState(index) },
               ))
@@ -253,7 +260,7 @@
           case "send":
             leader.tasks.push(() => {
               const reply = sendOrder(index, { order, orderEpoch });
-              carryOut(settler.handle({ kind: "reply", reply }));
+              executeEffects(settler.handle({ kind: "reply", reply }));
             });
             break;
           case "finish":
@@ -261,7 +268,7 @@
         }
       }
     }
-    leader.tasks.push(() => carryOut(settler.start()));
+    leader.tasks.push(() => executeEffects(settler.start()));
   }
 
   function feed(leader: Leader, event: switchRound.RoundEvent): void {
@@ -274,7 +281,7 @@
 
   function execute(leader: Leader, effect: switchRound.RoundEffect): void {
     const { round } = leader;
-    const feedSame = (event: switchRound.RoundEvent) => {
+    const feedRound = (event: switchRound.RoundEvent) => {
       if (leader.round === round) feed(leader, event);
     };
     switch (effect.kind) {
@@ -284,8 +291,8 @@
       case "read": {
         const { call, rank } = effect;
         leader.tasks.push(() =>
-          feedSame(
-            ranks[rank]!.stillFor > 0
+          feedRound(
+            ranks[rank]!.stallLeft > 0
               ? { kind: "late", call, rank }
               : { kind: "state", call, state: readState(rank) },
           )
@@ -295,7 +302,7 @@
       case "order": {
         const { call, rank, order } = effect;
         const answer = (outcome: rankOrders.OrderOutcome) =>
-          feedSame(
+          feedRound(
             isLikely(faults.lostOutcome)
               ? { kind: "late", call, rank }
               : { kind: "outcome", call, rank, outcome },
@@ -326,40 +333,43 @@
     });
   }
 
-  /** Reads all ranks one after the other, then starts what is needed. */
+  /**
+   * Reads all ranks in sequence, then ends an abandoned hold or starts a switch
+   * to a new map.
+   */
   function startRound(leader: Leader): void {
     const states: rankOrders.RankState[] = [];
     let next = 0;
     const readNext = () => {
-      if (ranks[next]!.stillFor === 0) states.push(readState(next));
+      if (ranks[next]!.stallLeft === 0) states.push(readState(next));
       next += 1;
       if (next < options.rankCount) {
         leader.tasks.push(readNext);
         return;
       }
       if (leader.round !== undefined) return;
-      const held = states.find((state) => state.heldStep !== undefined);
-      const inForce = ranks[0]!.map.layers;
+      const abandoned = states.find((state) => state.heldStep !== undefined);
+      const currentLayers = ranks[0]!.map.layers;
       leader.round = createRound(leader);
-      if (held?.heldStep !== undefined) {
-        const { rank: heldRank, heldStep } = held;
+      if (abandoned?.heldStep !== undefined) {
+        const { rank: heldRank, heldStep } = abandoned;
         feed(leader, {
           kind: "clear",
           heldRank,
           heldStep,
-          currentLayers: inForce,
+          currentLayers,
         });
         return;
       }
-      drawnMaps += 1;
-      const layers = [[[drawnMaps]]];
-      feed(leader, { kind: "start", layers, currentLayers: inForce, states });
+      createdMaps += 1;
+      const layers = [[[createdMaps]]];
+      feed(leader, { kind: "start", layers, currentLayers, states });
     };
     leader.tasks.push(readNext);
   }
 
   function beginPass(): void {
-    if (ranks.some((rank) => rank.held === step + 1)) return;
+    if (ranks.some((rank) => rank.heldStep === step + 1)) return;
     step += 1;
     passes += 1;
     for (const rank of ranks) {
@@ -377,7 +387,7 @@
   }
 
   function runLeader(leader: Leader): void {
-    if (ranks[leader.rank]!.stillFor > 0) return;
+    if (ranks[leader.rank]!.stallLeft > 0) return;
     if (leader.frozenFor > 0) {
       leader.frozenFor -= 1;
       return;
@@ -398,26 +408,26 @@
     task?.();
   }
 
-  function stopMachine(): void {
+  function stallMachine(): void {
     const index = Math.floor(draw() * options.rankCount);
-    ranks[index]!.stillFor = standstillSteps;
+    ranks[index]!.stallLeft = stallSteps;
   }
 
   openGroup();
   for (let count = 0; count < options.steps; count += 1) {
     nowMs += 1;
-    const chance = draw();
-    const turn = Math.floor(count / (options.idlePeriodSteps ?? Infinity));
-    if (chance < passShare) {
-      if (turn % 2 === 0) beginPass();
-    } else if (chance < passShare + lateTaskShare) {
-      const index = Math.floor(draw() * lateTasks.length);
-      lateTasks.splice(index, 1)[0]?.();
+    const roll = draw();
+    const period = Math.floor(count / (options.idlePeriodSteps ?? Infinity));
+    if (roll < passShare) {
+      if (period % 2 === 0) beginPass();
+    } else if (roll < passShare + lateTaskShare) {
+      const index = Math.floor(draw() * lateOrders.length);
+      lateOrders.splice(index, 1)[0]?.();
     } else {
       runLeader(leaders[Math.floor(draw() * leaders.length)]!);
     }
-    for (const rank of ranks) rank.stillFor = Math.max(0, rank.stillFor - 1);
-    if (isLikely(faults.standstill)) stopMachine();
+    for (const rank of ranks) rank.stallLeft = Math.max(0, rank.stallLeft - 1);
+    if (isLikely(faults.standstill)) stallMachine();
     if (isLikely(faults.newEpoch)) {
       epoch += 1;
       openGroup();
--- a/packages/coordination/src/testing/lease_node.ts
+++ b/packages/coordination/src/testing/lease_node.ts
@@ -1,4 +1,7 @@
-/** A simulated node that runs a lease machine against a simulated store. */
+/**
+ * A simulated node that runs the lease state machine against a simulated object
+ * store.
+ */
 import * as lease from "../lease.ts";
 import type * as random from "../random.ts";
 import type * as simulation from "./simulation.ts";
@@ -14,7 +17,7 @@
   readonly onStartedHolding?: (fencingNumber: number) => void;
 }
 
-/** Starts the machine on the node; returns it for inspection. */
+/** Starts the lease on the node; tests can inspect and feed the returned lease. */
 export function runLeaseNode(options: LeaseNodeOptions): lease.Lease {
   const { node, store, key } = options;
   const timers = new Map<lease.TimerName, AbortController>();
@@ -30,9 +33,9 @@
 
   function setTimer(name: lease.TimerName, delayMs: number): void {
     timers.get(name)?.abort();
-    const replaced = new AbortController();
-    timers.set(name, replaced);
-    const { signal } = replaced;
+    const controller = new AbortController();
+    timers.set(name, controller);
+    const { signal } = controller;
     options.simulation.schedule(
       () => node.run(() => signal.aborted || feed({ kind: "timer", name })),
       { delayMs, signal },
--- a/packages/coordination/src/testing/simulation.ts
+++ b/packages/coordination/src/testing/simulation.ts
@@ -1,14 +1,14 @@
 /**
- * Virtual time, a store with faults and nodes that pause, for tests and
- * benches of the state machines of this package.
+ * Virtual time, an object store with faults and nodes that can pause, for tests
+ * and benchmarks of the state machines of this package.
  */
 import type * as versionedStore from "../versioned_store.ts";
 
-/** Virtual time with timers that run in order of their due time. */
+/** Virtual time; timers fire in the order of their due times. */
 export interface Simulation {
   now(): number;
   readonly schedule: versionedStore.Schedule;
-  /** Runs all callbacks that fall due within the duration. */
+  /** Moves time forward and runs the callbacks that become due. */
   advance(durationMs: number): void;
 }
 
@@ -23,12 +23,12 @@
   const timers: Timer[] = [];
   let nowMs = 0;
 
-  function findPosition(dueMs: number): number {
+  function findInsertIndex(dueMs: number): number {
     let low = 0;
     let high = timers.length;
     while (low < high) {
       const middle = (low + high) >> 1;
-      // Kept with the earliest last, so that taking it is cheap.
+      // Sorted with the earliest timer last, so that removing it is cheap.
       if ((timers[middle] as Timer).dueMs > dueMs) low = middle + 1;
       else high = middle;
     }
@@ -39,7 +39,7 @@
     now: () => nowMs,
     schedule(callback, { delayMs, signal }) {
       const dueMs = nowMs + Math.max(0, delayMs);
-      timers.splice(findPosition(dueMs), 0, { dueMs, callback, signal });
+      timers.splice(findInsertIndex(dueMs), 0, { dueMs, callback, signal });
     },
     advance(durationMs) {
       const limitMs = nowMs + durationMs;
@@ -55,7 +55,10 @@
   };
 }
 
-/** A node whose callbacks wait while it is paused, and vanish once it is dead. */
+/**
+ * A node whose callbacks are deferred while it is paused and dropped after it
+ * is killed.
+ */
 export interface SimulatedNode {
   run(callback: () => void): void;
   pause(): void;
@@ -64,14 +67,14 @@
   isDead(): boolean;
 }
 
-/** Creates a node that runs. */
+/** Creates a running node. */
 export function createNode(): SimulatedNode {
   let state: "running" | "paused" | "dead" = "running";
-  let waiting: (() => void)[] = [];
+  let deferred: (() => void)[] = [];
   return {
     run(callback) {
       if (state === "running") callback();
-      if (state === "paused") waiting.push(callback);
+      if (state === "paused") deferred.push(callback);
     },
     pause() {
       if (state === "running") state = "paused";
@@ -79,23 +82,23 @@
     resume() {
       if (state !== "paused") return;
       state = "running";
-      for (const callback of waiting.splice(0)) callback();
+      for (const callback of deferred.splice(0)) callback();
     },
     kill() {
       state = "dead";
-      waiting = [];
+      deferred = [];
     },
     isDead: () => state === "dead",
   };
 }
 
-/** What befalls one call to the store. */
+/** Fault of one call to the object store. */
 export type StoreFault =
   | { readonly kind: "none" }
   | { readonly kind: "down" }
-  /** The call takes effect; the answer does not arrive. */
+  /** The call takes effect, but its answer is lost. */
   | { readonly kind: "answer_lost" }
-  /** The caller sees no answer; a write takes effect after the delay. */
+  /** The answer is lost; a write takes effect after the delay. */
   | { readonly kind: "late"; readonly delayMs: number };
 
 export interface SimulatedStore {
@@ -111,18 +114,18 @@
     },
     onAnswer: (outcome: versionedStore.WriteOutcome) => void,
   ): void;
-  /** Faults of the next calls, one each. */
+  /** Adds faults for the next calls, one for each call. */
   addFaults(...faults: readonly StoreFault[]): void;
-  /** Refuses all calls while true. */
+  /** Makes all calls fail as unavailable while true. */
   setDown(isDown: boolean): void;
-  /** Returns the present object without counting a call. */
+  /** Returns the current object; not counted as a call. */
   getObject(key: string): versionedStore.StoredObject | undefined;
   countCalls(): { readonly reads: number; readonly writes: number };
 }
 
-const timeoutMs = 300;
+const callTimeoutMs = 300;
 
-/** Creates an empty store with `latencyMs` on each way. */
+/** Creates an empty store; `latencyMs` is the one-way network latency. */
 export function createSimulatedStore(
   simulation: Simulation,
   latencyMs = 2,
@@ -175,7 +178,7 @@
         if (fault.kind === "none") {
           return wait(latencyMs, () => onAnswer(outcome));
         }
-        const delayMs = fault.kind === "down" ? latencyMs : timeoutMs;
+        const delayMs = fault.kind === "down" ? latencyMs : callTimeoutMs;
         wait(delayMs, () => onAnswer(unavailable));
       });
     },
@@ -193,10 +196,10 @@
           return wait(2 * latencyMs, () => onAnswer(unavailable));
         case "answer_lost":
           wait(latencyMs, execute);
-          return wait(timeoutMs, () => onAnswer(unknown));
+          return wait(callTimeoutMs, () => onAnswer(unknown));
         case "late":
           wait(fault.delayMs, execute);
-          return wait(timeoutMs, () => onAnswer(unknown));
+          return wait(callTimeoutMs, () => onAnswer(unknown));
       }
     },
     addFaults: (...added) => void faults.push(...added),
