--- a/packages/anvilhinge/src/testing/manual_scheduler.ts
+++ b/packages/anvilhinge/src/testing/manual_scheduler.ts
@@ -1,13 +1,13 @@
-/** Scheduler for tests: time moves only when the test advances it. */
+/** Scheduler for tests; its time moves only when the test advances it. */
 import type * as scheduler from "../ports/scheduler.ts";
 
-/** Scheduler whose callbacks run inside `advance` and `advanceAsync`. */
+/** Scheduler that runs its callbacks inside `advance` and `advanceAsync`. */
 export interface ManualScheduler extends scheduler.Scheduler {
-  /** Moves time forward and runs the callbacks that fall due, in due order. */
+  /** Moves time forward and runs the callbacks that become due, in order. */
   advance(durationMs: number): void;
-  /** As `advance`, but lets promises settle before and after each callback. */
+  /** Like `advance`, but settles promises before and after each callback. */
   advanceAsync(durationMs: number): Promise<void>;
-  /** Returns the number of timers that are neither run nor cancelled. */
+  /** Returns the number of timers that have neither run nor been aborted. */
   countTimers(): number;
 }
 
@@ -76,7 +76,7 @@
   return timer.sequence < best.sequence ? timer : best;
 }
 
-/** Runs after all promise callbacks that are ready now. */
+/** Resolves after all pending promise callbacks have run. */
 function settlePromises(): Promise<void> {
   return new Promise((resolve) => setImmediate(resolve));
 }
--- a/packages/anvilhinge/src/testing/playground_system.ts
+++ b/packages/anvilhinge/src/testing/playground_system.ts
@@ -1,4 +1,4 @@
-/** Starts the system on loopback with the playground's settings, for tests. */
+/** Starts the system on loopback with the playground settings, for tests. */
 import * as nodePath from "node:path";
 import * as random from "@anvilhinge/coordination/random";
 import * as systemScheduler from "../adapters/system_scheduler.ts";
@@ -11,26 +11,26 @@
 export interface PlaygroundSystemOptions
   extends Omit<system.SystemOptions, "objects" | "scheduler" | "random"> {
   /**
-   * Half whose playground is started.
+   * Half whose part of the playground is started.
    * @default both
    */
   readonly half?: string;
-  /** Selects the objects that are started. Default: all. */
+  /** Selects the settings objects to start. Default: all. */
   readonly isWanted?: (object: objects.SettingsObject) => boolean;
 }
 
-/** Starts the system with quick steps; throws when a setting is wrong. */
+/** Starts the system with steps of 1 ms; throws if a setting is invalid. */
 export async function startPlaygroundSystem(
   { half = "", isWanted = () => true, ...options }: PlaygroundSystemOptions,
 ): Promise<system.RunningSystem> {
-  const loaded = await objectFiles.loadObjectFiles(nodePath.join(root, half));
-  if (loaded.kind === "invalid") throw new Error(loaded.problems[0]?.message);
+  const outcome = await objectFiles.loadObjectFiles(nodePath.join(root, half));
+  if (outcome.kind === "invalid") throw new Error(outcome.problems[0]?.message);
   return system.startSystem({
     stepMs: 1,
     addressAnswerTtlMs: 100,
     logLevel: "error",
     ...options,
-    objects: loaded.settings.filter(isWanted),
+    objects: outcome.settings.filter(isWanted),
     scheduler: systemScheduler.createSystemScheduler(),
     random: random.createRandomSource(1),
   });
--- a/packages/anvilhinge/src/testing/session_driver.ts
+++ b/packages/anvilhinge/src/testing/session_driver.ts
@@ -1,4 +1,4 @@
-/** Drives the state machine of one request in tests and collects its effects. */
+/** Drives the session of one request in tests and collects its effects. */
 import * as clock from "@anvilhinge/coordination/clock";
 import type * as frames from "../ports/frames.ts";
 import * as session from "../entry/session/session.ts";
@@ -11,11 +11,11 @@
 export interface Driver {
   readonly clock: clock.ManualClock;
   readonly session: session.Session;
-  /** All effects so far. */
+  /** All effects of the session so far. */
   readonly effects: readonly session.SessionEffect[];
-  /** Feeds an event; descriptions and claims are answered at once. */
+  /** Feeds an event; `prepare` and `claim` effects succeed at once. */
   feed(event: session.SessionEvent): void;
-  /** Feeds a frame of the n-th attempt, named `a1`, `a2` and so on. */
+  /** Feeds a frame of the n-th attempt, which has the id `a<n>`. */
   feedFrame(
     attempt: number,
     sequence: number,
@@ -24,25 +24,25 @@
       readonly requestId?: string;
     },
   ): void;
-  /** Effects of one kind. */
+  /** Returns the effects of one kind. */
   listEffects<Kind extends session.SessionEffect["kind"]>(
     kind: Kind,
   ): readonly Extract<session.SessionEffect, { readonly kind: Kind }>[];
-  /** Data that was delivered, as text. */
+  /** Returns the data delivered so far, as text. */
   getText(): string;
 }
 
-/** An idle engine's load. */
+/** Load of an idle engine. */
 export const noLoad = { running: 0, queued: 0, stepUs: 0 };
 
-/** Creates the upstream of a rank of group `g`. */
+/** Creates the upstream for a rank of group `g`. */
 export function createUpstream(rank: number): session.Upstream {
   const id = `g/${rank}`;
   const address = `10.0.0.1:${rank}`;
   return { id, group: "g", rank, address, half: "h", epoch: 1 };
 }
 
-/** Creates a session that has arrived and dispatched its first attempt. */
+/** Creates a session that has dispatched its first attempt. */
 export function createDriver(
   { request, options }: DriverOptions = {},
 ): Driver {
@@ -64,9 +64,9 @@
     clock: manual,
     readWallMs: () => manual.now(),
     createAttemptId: () => `a${++attempts}`,
-    chooseUpstream: (tried) => ({
+    chooseUpstream: (triedIds) => ({
       kind: "chosen",
-      upstream: createUpstream(tried.size),
+      upstream: createUpstream(triedIds.size),
     }),
     takeRetry: () => true,
     ...options,
@@ -111,14 +111,14 @@
   };
 }
 
-/** First frame of an answer. */
+/** Body of the first frame of an answer. */
 export const accepted: frames.FrameBody = {
   kind: "accepted",
   incarnation: "i",
   head: { status: 200, headers: [] },
 };
 
-/** Creates a frame's body with text. */
+/** Creates the body of a chunk frame. */
 export function createChunk(text: string): frames.FrameBody {
   return { kind: "chunk", data: Buffer.from(text) };
 }
@@ -128,7 +128,7 @@
   return { kind: "end", frameCount, load: noLoad };
 }
 
-/** Creates the body of a refusal. */
+/** Creates the body of a refusal frame. */
 export function createRefusal(reason: frames.RefusalReason): frames.FrameBody {
   return { kind: "refused", reason, retryAfterMs: 0, load: noLoad };
 }
