--- a/packages/anvilhinge/src/matrix/agent_node.ts
+++ b/packages/anvilhinge/src/matrix/agent_node.ts
@@ -1,4 +1,4 @@
-/** An agent of the matrix: the real attempt table beside a small engine. */
+/** Agent of the fault matrix: the real attempt table with a simulated engine. */
 import type * as assignment from "@anvilhinge/coordination/assignment";
 import * as attempts from "../agent/attempts.ts";
 import type * as agentClient from "../entry/session/agent_client.ts";
@@ -7,7 +7,9 @@
 import type * as scheduler from "../ports/scheduler.ts";
 import * as network from "./network.ts";
 
-/** One start of work at an engine. */
+/**
+ * Start of an attempt at an engine. The golden files contain the property names.
+ */
 export interface WorkStart {
   readonly upstreamId: string;
   readonly requestId: string;
@@ -25,44 +27,48 @@
   readonly onEffect: (start: WorkStart) => void;
 }
 
-/** Streams of frames as an entry receives them. */
+/** Receiver of a stream of frames at an entry. */
 export type FrameReceiver = Pick<
   agentClient.StreamOptions,
   "onFrame" | "onEnd" | "signal"
 >;
 
-/** An agent process that can die and start again. */
+/** An agent process that can die and restart. */
 export interface AgentNode {
   readonly upstream: session.Upstream;
   isUp(): boolean;
   describe(): frames.AgentDescription;
-  run(attempt: frames.Attempt, target: FrameReceiver): void;
-  resume(request: agentClient.ResumeRequest, target: FrameReceiver): void;
+  run(attempt: frames.Attempt, receiver: FrameReceiver): void;
+  resume(request: agentClient.ResumeRequest, receiver: FrameReceiver): void;
   seal(request: frames.SealRequest): frames.SealOutcome;
   cancel(attemptId: string): void;
   setAssignment(received: assignment.Assignment): void;
   getAssignment(): assignment.Assignment | undefined;
   countRunning(): number;
-  /** Ends the process; a new one starts later unless it is gone for good. */
+  /** Kills the process; a new process starts later unless `isPermanent`. */
   kill(options: { readonly isPermanent: boolean }): void;
+  /** Stops the engine for a time; the agent keeps running. */
   stall(durationMs: number): void;
 }
 
-/** Pieces of each answer of a model. */
+/** Number of chunks in each answer of a model. */
 export const chunkCount = 5;
-const firstPieceMs = 30;
-const pieceMs = 20;
-const effectMs = 20;
-const answerMs = 10;
-const restartMs = 500;
-const expireMs = 1_000;
-
-/** Text of one piece; differs between attempts, as sampled answers do. */
+const firstChunkDelayMs = 30;
+const chunkIntervalMs = 20;
+const effectDelayMs = 20;
+const answerDelayMs = 10;
+const restartDelayMs = 500;
+const expireIntervalMs = 1_000;
+
+/**
+ * Returns the text of a chunk. It differs between attempts, as the output of a
+ * model that samples does.
+ */
 export function formatChunk(attemptId: string, index: number): string {
   return `<${attemptId}.${index}>`;
 }
 
-/** The answer to a service call. */
+/** Returns the answer to a service call. */
 export function formatServiceAnswer(requestId: string): string {
   return `done ${requestId}`;
 }
@@ -70,7 +76,7 @@
 interface Process {
   readonly incarnation: string;
   readonly table: attempts.Attempts;
-  readonly targets: Set<FrameReceiver>;
+  readonly receivers: Set<FrameReceiver>;
 }
 
 /** Creates an agent that is up. */
@@ -78,8 +84,8 @@
   const { upstream, scheduler: timers } = options;
   let starts = 0;
   let stalledUntilMs = 0;
-  let known: assignment.Assignment | undefined;
-  let running: Process | undefined = startProcess();
+  let lastAssignment: assignment.Assignment | undefined;
+  let active: Process | undefined = startProcess();
 
   function startProcess(): Process {
     starts += 1;
@@ -91,30 +97,30 @@
       incarnation,
       readLoad: () => ({ running: 0, queued: 0, stepUs: 0 }),
     });
-    if (known !== undefined) table.setAssignment(known);
-    const started = { incarnation, table, targets: new Set<FrameReceiver>() };
-    expireRegularly(started);
+    if (lastAssignment !== undefined) table.setAssignment(lastAssignment);
+    const started = { incarnation, table, receivers: new Set<FrameReceiver>() };
+    scheduleExpiry(started);
     return started;
   }
 
-  function expireRegularly(own: Process): void {
+  function scheduleExpiry(process: Process): void {
     timers.schedule(() => {
-      if (own !== running) return;
-      for (const attemptId of own.table.expire()) own.table.cancel(attemptId);
-      expireRegularly(own);
-    }, { delayMs: expireMs });
+      if (process !== active) return;
+      for (const id of process.table.expire()) process.table.cancel(id);
+      scheduleExpiry(process);
+    }, { delayMs: expireIntervalMs });
   }
 
-  /** Runs a step of the engine; a stall holds it back. */
+  /** Schedules an engine callback; a stall delays it. */
   function scheduleEngine(callback: () => void, delayMs: number): void {
     timers.schedule(() => {
-      const leftMs = stalledUntilMs - timers.now();
-      if (leftMs > 0) scheduleEngine(callback, leftMs);
+      const remainingMs = stalledUntilMs - timers.now();
+      if (remainingMs > 0) scheduleEngine(callback, remainingMs);
       else callback();
     }, { delayMs });
   }
 
-  function startEngine(own: Process, attempt: frames.Attempt): void {
+  function startEngine(process: Process, attempt: frames.Attempt): void {
     const { requestId, attemptId, half } = attempt;
     const upstreamId = upstream.id;
     const start = {
@@ -126,7 +132,7 @@
     };
     options.onStart(start);
     const emit = (event: Parameters<attempts.Attempts["receiveEvent"]>[1]) =>
-      own.table.receiveEvent(attemptId, event);
+      process.table.receiveEvent(attemptId, event);
     if (attempt.work.kind === "service") {
       scheduleEngine(() => {
         options.onEffect(start);
@@ -135,102 +141,102 @@
           const data = Buffer.from(formatServiceAnswer(requestId));
           emit({ kind: "data", data });
           emit({ kind: "end" });
-        }, answerMs);
-      }, effectMs);
+        }, answerDelayMs);
+      }, effectDelayMs);
       return;
     }
     scheduleEngine(() => {
       emit({ kind: "head", head: { status: 200, headers: [] } });
-      emitPiece(0);
-    }, firstPieceMs);
+      emitChunk(0);
+    }, firstChunkDelayMs);
 
-    function emitPiece(index: number): void {
+    function emitChunk(index: number): void {
       if (index === chunkCount) return emit({ kind: "end" });
       const data = Buffer.from(formatChunk(attemptId, index));
       emit({ kind: "data", data });
-      scheduleEngine(() => emitPiece(index + 1), pieceMs);
+      scheduleEngine(() => emitChunk(index + 1), chunkIntervalMs);
     }
   }
 
-  /** Sends frames to an entry, and the end of the stream after the last. */
+  /** Sends the frames of an attempt to an entry, then the end of the stream. */
   function follow(
-    { own, attemptId, target }: {
-      readonly own: Process;
+    { process, attemptId, receiver }: {
+      readonly process: Process;
       readonly attemptId: string;
-      readonly target: FrameReceiver;
+      readonly receiver: FrameReceiver;
     },
     subscribe: (sink: attempts.FrameSink) => void,
   ): void {
-    own.targets.add(target);
+    process.receivers.add(receiver);
     const sink: attempts.FrameSink = (frame) => {
-      options.send(`frame_${frame.body.kind}`, () => target.onFrame(frame));
+      options.send(`frame_${frame.body.kind}`, () => receiver.onFrame(frame));
       const isOpen = frame.body.kind === "accepted" ||
         frame.body.kind === "chunk";
       if (isOpen) return;
-      own.targets.delete(target);
-      timers.schedule(() => target.onEnd({ kind: "closed" }), {
+      process.receivers.delete(receiver);
+      timers.schedule(() => receiver.onEnd({ kind: "closed" }), {
         delayMs: 2 * network.latencyMs,
       });
     };
-    target.signal.addEventListener("abort", () => {
-      own.targets.delete(target);
-      own.table.detach(attemptId, sink);
+    receiver.signal.addEventListener("abort", () => {
+      process.receivers.delete(receiver);
+      process.table.detach(attemptId, sink);
     }, { once: true });
     subscribe(sink);
   }
 
-  function closeTargets(own: Process): void {
-    for (const target of own.targets) {
+  function breakStreams(process: Process): void {
+    for (const receiver of process.receivers) {
       timers.schedule(
-        () => target.onEnd({ kind: "broken", sent: true, message: "reset" }),
+        () => receiver.onEnd({ kind: "broken", sent: true, message: "reset" }),
         { delayMs: network.latencyMs },
       );
     }
   }
 
   function getProcess(): Process {
-    if (running === undefined) throw new Error(`${upstream.id} is down`);
-    return running;
+    if (active === undefined) throw new Error(`Agent ${upstream.id} is down`);
+    return active;
   }
 
   return {
     upstream,
-    isUp: () => running !== undefined,
+    isUp: () => active !== undefined,
     describe: () => ({
       incarnation: getProcess().incarnation,
       nowMs: timers.now(),
     }),
-    run(attempt, target) {
-      const own = getProcess();
+    run(attempt, receiver) {
+      const process = getProcess();
       const { attemptId } = attempt;
-      follow({ own, attemptId, target }, (sink) => {
-        const outcome = own.table.offer(attempt, sink);
-        if (outcome.kind === "start") startEngine(own, attempt);
+      follow({ process, attemptId, receiver }, (sink) => {
+        const outcome = process.table.offer(attempt, sink);
+        if (outcome.kind === "start") startEngine(process, attempt);
       });
     },
-    resume(request, target) {
-      const own = getProcess();
+    resume(request, receiver) {
+      const process = getProcess();
       const { attemptId } = request;
-      follow({ own, attemptId, target }, (sink) => {
-        own.table.resume(request, sink);
+      follow({ process, attemptId, receiver }, (sink) => {
+        process.table.resume(request, sink);
       });
     },
     seal: (request) => getProcess().table.seal(request),
     cancel: (attemptId) => void getProcess().table.cancel(attemptId),
     setAssignment(received) {
-      known = received;
-      running?.table.setAssignment(received);
+      lastAssignment = received;
+      active?.table.setAssignment(received);
     },
-    getAssignment: () => running?.table.getAssignment(),
-    countRunning: () => running?.table.countRunning() ?? 0,
+    getAssignment: () => active?.table.getAssignment(),
+    countRunning: () => active?.table.countRunning() ?? 0,
     kill({ isPermanent: isGone }) {
-      if (running === undefined) return;
-      closeTargets(running);
-      running = undefined;
+      if (active === undefined) return;
+      breakStreams(active);
+      active = undefined;
       if (isGone) return;
       timers.schedule(() => {
-        running = startProcess();
-      }, { delayMs: restartMs });
+        active = startProcess();
+      }, { delayMs: restartDelayMs });
     },
     stall(durationMs) {
       stalledUntilMs = timers.now() + durationMs;
--- a/packages/anvilhinge/src/matrix/at_most_once_test.ts
+++ b/packages/anvilhinge/src/matrix/at_most_once_test.ts
@@ -7,7 +7,7 @@
   return simulation.runSimulation({ session: "filing", planned });
 }
 
-test("a paused entry that wakes after another took over starts nothing", async () => {
+test("a paused entry that resumes after another entry took over starts nothing", async () => {
   const record = await runFiling({
     fault: "entry_pauses",
     step: "store_write#1",
@@ -17,7 +17,7 @@
   expect(record.submissions[1]).toMatchObject({ isComplete: true });
 });
 
-test("an agent that restarts before the call arrives runs nothing of it", async () => {
+test("an agent that restarts before the call arrives does not start the call", async () => {
   const record = await runFiling({
     fault: "agent_dies",
     step: "store_write#1",
@@ -36,7 +36,7 @@
   expect(record.submissions[0]?.final?.kind ?? "complete").not.toBe("not_run");
 });
 
-test("an answer that is lost after the effect is fetched again", async () => {
+test("an answer that was lost after the effect is fetched again from the agent", async () => {
   const record = await runFiling({
     fault: "message_lost",
     step: "frame_end#1",
@@ -49,7 +49,7 @@
   });
 });
 
-test("a call sent after the instant by which it must start is refused", async () => {
+test("a call that arrives after the time by which it must start is refused", async () => {
   const record = await runFiling({
     fault: "message_very_late",
     step: "run#1",
@@ -58,7 +58,7 @@
   expect(record.starts.map((start) => start.upstreamId)).toEqual(["g1/0"]);
 });
 
-test("an outage of the store is answered at once, and nothing runs in it", async () => {
+test("a call during a store outage is answered at once and does not start", async () => {
   const record = await runFiling({ fault: "store_down", step: "store_read#1" });
   const [first] = record.submissions;
   expect(first?.final).toMatchObject({ kind: "unknown", retryAfterMs: 1_000 });
@@ -67,13 +67,13 @@
   expect(record.effects.length).toBeLessThanOrEqual(1);
 });
 
-test("an entry that dies after the claim leaves a call that is settled", async () => {
+test("the next entry settles the call of an entry that died after the claim", async () => {
   const record = await runFiling({ fault: "entry_dies", step: "run#1" });
   expect(record.effects).toHaveLength(1);
   expect(record.submissions.at(-1)).toMatchObject({ isComplete: true });
 });
 
-test("an entry whose attempt was replaced by another does not say not run", async () => {
+test("an entry whose attempt was replaced does not answer not_run", async () => {
   const record = await runFiling(
     { fault: "message_lost", step: "run#1" },
     { fault: "store_down", step: "seal#2" },
--- a/packages/anvilhinge/src/matrix/caller.ts
+++ b/packages/anvilhinge/src/matrix/caller.ts
@@ -1,32 +1,36 @@
 /**
- * The caller of the matrix: sends a call to the first entry and goes to the
- * next one when that dies or says nothing for long; keeps all that it is told.
+ * Caller of the fault matrix: submits a call to the first entry, and to the next
+ * entry when the first dies or does not answer in time. Records all that it
+ * receives.
  */
 import type * as engine from "../ports/engine.ts";
 import type * as scheduler from "../ports/scheduler.ts";
 import type * as session from "../entry/session/session.ts";
 import type * as entryNode from "./entry_node.ts";
 
-/** What one entry said to one sending of the call. */
+/**
+ * One submission of the call to one entry, with what the entry returned. The
+ * golden files contain the property names.
+ */
 export interface Submission {
   readonly entry: entryNode.EntryNode;
   readonly requestId: string;
   readonly atMs: number;
-  /** Attempt whose frames were delivered. */
+  /** Attempt whose answer the entry delivers. */
   attemptId?: string;
   upstream?: session.Upstream;
   head?: engine.AnswerHead;
   text: string;
-  /** Sequence number of the last data; undefined before any. */
+  /** Sequence number of the latest data; undefined before the first. */
   lastSequence?: number;
   isComplete: boolean;
   final?: session.FinalAnswer;
   finalAtMs?: number;
-  /** Number of last words; more than one is a fault. */
+  /** Number of final answers; more than one is a violation. */
   lastWords: number;
-  /** True when the caller lost its patience and closed the connection. */
+  /** Whether the caller timed out and closed the connection. */
   isAbandoned: boolean;
-  /** What the caller had before, when this sending resumes a stream. */
+  /** Text received before, if this submission resumes a stream. */
   readonly before: string;
 }
 
@@ -38,21 +42,22 @@
 }
 
 export interface RunningCaller {
-  /** Request id of the first sending. */
+  /** Request id of the first submission. */
   readonly callId: string;
   listSubmissions(): readonly Submission[];
 }
 
 export const workspace = "drafting/milan";
-/** Time that a caller gives a call, in milliseconds. */
+/** Deadline of a submission, relative to its start. */
 export const deadlineMs = 30_000;
-const patienceMs = 4_000;
-const maxSends = 8;
+/** Time without any data after which the caller goes to the next entry. */
+const answerTimeoutMs = 4_000;
+const maxSubmissions = 8;
 
-/** Sends the call; the scheduler drives the rest. */
+/** Submits the call; the scheduler drives all further submissions. */
 export function runCaller(options: CallerOptions): RunningCaller {
   const { scheduler: timers, entries } = options;
-  const sends: Submission[] = [];
+  const sent: Submission[] = [];
   const callId = "call-1";
 
   function createRequest(requestId: string): session.Request {
@@ -77,15 +82,15 @@
     };
   }
 
-  function sendTo(entry: entryNode.EntryNode, earlier?: Submission): void {
-    const canResume = options.isModel && earlier?.lastSequence !== undefined;
-    // A repeatable call is a new request each time, unless it is resumed.
-    const requestId = canResume && earlier !== undefined
-      ? earlier.requestId
+  function submit(entry: entryNode.EntryNode, previous?: Submission): void {
+    const canResume = options.isModel && previous?.lastSequence !== undefined;
+    // Each submission of a repeatable call is a new request, unless it resumes.
+    const requestId = canResume && previous !== undefined
+      ? previous.requestId
       : options.isRepeatable
-      ? `call-${sends.length + 1}`
+      ? `call-${sent.length + 1}`
       : callId;
-    const sent: Submission = {
+    const submission: Submission = {
       entry,
       requestId,
       atMs: timers.now(),
@@ -93,78 +98,78 @@
       isComplete: false,
       lastWords: 0,
       isAbandoned: false,
-      before: canResume ? earlier.before + earlier.text : "",
-      attemptId: canResume ? earlier.attemptId : undefined,
-      upstream: canResume ? earlier.upstream : undefined,
+      before: canResume ? previous.before + previous.text : "",
+      attemptId: canResume ? previous.attemptId : undefined,
+      upstream: canResume ? previous.upstream : undefined,
     };
-    sends.push(sent);
-    const gone = new AbortController();
+    sent.push(submission);
+    const abandonment = new AbortController();
     entry.onExit(() => {
-      if (sent.lastWords === 0) sendNext(sent);
+      if (submission.lastWords === 0) submitToNext(submission);
     });
     timers.schedule(() => {
-      const isSilent = sent.lastWords === 0 && sent.text === "";
-      if (!isSilent || !entry.isUp() || sent !== sends.at(-1)) return;
-      sent.isAbandoned = true;
-      gone.abort();
-      sendNext(sent);
-    }, { delayMs: patienceMs });
+      const isPending = submission.lastWords === 0 && submission.text === "";
+      if (!isPending || !entry.isUp() || submission !== sent.at(-1)) return;
+      submission.isAbandoned = true;
+      abandonment.abort();
+      submitToNext(submission);
+    }, { delayMs: answerTimeoutMs });
     entry.runCall(createRequest(requestId), {
-      signal: gone.signal,
-      sink: createSink(sent),
-      resumePoint: canResume && earlier?.upstream !== undefined
+      signal: abandonment.signal,
+      sink: createSink(submission),
+      resumePoint: canResume && previous?.upstream !== undefined
         ? {
-          upstream: earlier.upstream,
-          attemptId: earlier.attemptId ?? "",
-          fromSequence: (earlier.lastSequence ?? 0) + 1,
+          upstream: previous.upstream,
+          attemptId: previous.attemptId ?? "",
+          fromSequence: (previous.lastSequence ?? 0) + 1,
         }
         : undefined,
     });
   }
 
-  /** Goes to the next entry that is up. */
-  function sendNext(earlier: Submission): void {
-    const position = entries.indexOf(earlier.entry);
+  /** Submits the call to the next entry that is up. */
+  function submitToNext(last: Submission): void {
+    const position = entries.indexOf(last.entry);
     const next = entries.slice(position + 1).find((entry) => entry.isUp());
-    if (next !== undefined && sends.length < maxSends) sendTo(next, earlier);
+    if (next !== undefined && sent.length < maxSubmissions) submit(next, last);
   }
 
-  function createSink(sent: Submission): Parameters<
+  function createSink(submission: Submission): Parameters<
     entryNode.EntryNode["runCall"]
   >[1]["sink"] {
-    function end(): void {
-      sent.lastWords += 1;
-      sent.finalAtMs = timers.now();
+    function recordFinal(): void {
+      submission.lastWords += 1;
+      submission.finalAtMs = timers.now();
     }
 
     return {
       head(head, { attemptId, upstream }) {
-        sent.head = head;
-        sent.attemptId = attemptId;
-        sent.upstream = upstream;
+        submission.head = head;
+        submission.attemptId = attemptId;
+        submission.upstream = upstream;
       },
       data(data, sequence) {
-        sent.text += Buffer.from(data).toString();
-        sent.lastSequence = sequence;
+        submission.text += Buffer.from(data).toString();
+        submission.lastSequence = sequence;
       },
       end() {
-        end();
-        sent.isComplete = true;
+        recordFinal();
+        submission.isComplete = true;
       },
       answer(final) {
-        end();
-        sent.final = final;
-        const mayAskAgain = final.kind === "unknown" &&
-          final.retryAfterMs > 0 && sends.length < maxSends;
-        if (!mayAskAgain) return;
+        recordFinal();
+        submission.final = final;
+        const canRetry = final.kind === "unknown" &&
+          final.retryAfterMs > 0 && sent.length < maxSubmissions;
+        if (!canRetry) return;
         timers.schedule(() => {
-          if (sent.entry.isUp()) sendTo(sent.entry);
+          if (submission.entry.isUp()) submit(submission.entry);
         }, { delayMs: final.retryAfterMs });
       },
     };
   }
 
   const [first] = entries;
-  if (first !== undefined) sendTo(first);
-  return { callId, listSubmissions: () => sends };
+  if (first !== undefined) submit(first);
+  return { callId, listSubmissions: () => sent };
 }
--- a/packages/anvilhinge/src/matrix/cells.ts
+++ b/packages/anvilhinge/src/matrix/cells.ts
@@ -1,10 +1,11 @@
-/** The cells of the matrix: each fault at each step, alone and in pairs. */
+/** Cells of the fault matrix: each fault at each step, alone or in pairs. */
 import * as random from "@anvilhinge/coordination/random";
 import * as checks from "./checks.ts";
 import type * as entryNode from "./entry_node.ts";
 import * as faultPlan from "./fault_plan.ts";
 import * as simulation from "./simulation.ts";
 
+/** One run of a session with its faults, and the violated guarantees. */
 export interface Cell {
   readonly session: simulation.SessionName;
   readonly planned: readonly faultPlan.PlannedFault[];
@@ -19,17 +20,17 @@
   faultPlan.allFaults.filter((fault) => fault.startsWith("message_")),
 );
 
-/** Whether a fault of this kind can occur at a step. */
+/** Whether a fault can occur at a step; store calls are not messages. */
 function isPossible(fault: faultPlan.Fault, step: string): boolean {
   return !(messageFaults.has(fault) && step.startsWith("store_"));
 }
 
-/** Lists the single faults of a session by the steps of its quiet run. */
+/** Lists all single faults at the steps that the session has without faults. */
 export async function listSingleFaults(
   session: simulation.SessionName,
 ): Promise<readonly faultPlan.PlannedFault[]> {
-  const quiet = await simulation.runSimulation({ session, planned: [] });
-  return quiet.steps.flatMap((step) =>
+  const faultless = await simulation.runSimulation({ session, planned: [] });
+  return faultless.steps.flatMap((step) =>
     faultPlan.allFaults
       .filter((fault) => isPossible(fault, step))
       .map((fault) => ({ fault, step }))
@@ -46,7 +47,7 @@
   return { session, planned, violations: checks.listViolations(record) };
 }
 
-/** Runs each single fault of a session. */
+/** Runs a cell for each single fault of a session. */
 export async function runSingleFaults(
   session: simulation.SessionName,
   options: CellOptions = {},
@@ -59,15 +60,15 @@
 }
 
 /**
- * Runs pairs that a seed draws: the second fault falls on any step that the
- * session takes under the first, so also on its way of recovery.
+ * Runs cells with random pairs of faults. The second fault occurs at any step
+ * that the session takes under the first, including the steps of its recovery.
  */
 export async function runFaultPairs(
   session: simulation.SessionName,
   options: CellOptions & { readonly seed: number; readonly count: number },
 ): Promise<readonly Cell[]> {
   const draw = random.createRandomSource(options.seed);
-  const singles = await listSingleFaults(session);
+  const singleFaults = await listSingleFaults(session);
   const cells: Cell[] = [];
 
   function pick<Item>(items: readonly Item[]): Item {
@@ -75,21 +76,21 @@
   }
 
   while (cells.length < options.count) {
-    const first = pick(singles);
-    const { steps: reached } = await simulation.runSimulation({
+    const firstFault = pick(singleFaults);
+    const { steps: reachedSteps } = await simulation.runSimulation({
       session,
-      planned: [first],
+      planned: [firstFault],
     });
-    const step = pick(reached);
+    const step = pick(reachedSteps);
     const fault = pick(
-      faultPlan.allFaults.filter((one) => isPossible(one, step)),
+      faultPlan.allFaults.filter((candidate) => isPossible(candidate, step)),
     );
-    cells.push(await runCell(session, [first, { fault, step }], options));
+    cells.push(await runCell(session, [firstFault, { fault, step }], options));
   }
   return cells;
 }
 
-/** Names a cell as the table and the list of known failures do. */
+/** Formats the name of a cell, as in the output of the matrix. */
 export function formatCell({ session, planned }: Cell): string {
   const faults = planned.map(({ fault, step }) => `${fault} at ${step}`);
   return `${session}: ${faults.join(" + ")}`;
--- a/packages/anvilhinge/src/matrix/checks.ts
+++ b/packages/anvilhinge/src/matrix/checks.ts
@@ -1,30 +1,30 @@
-/** The promises to callers, checked on the record of one world. */
+/** Checks the guarantees to callers on the result of one simulation. */
 import * as agentNode from "./agent_node.ts";
 import * as caller from "./caller.ts";
 import type * as simulation from "./simulation.ts";
 
-/** Slack for calls that were under way at the deadline, in milliseconds. */
+/** Slack for calls that were in flight at the deadline, in milliseconds. */
 const deadlineSlackMs = 10_000;
-/** A refusal must leave the caller time to go elsewhere, in milliseconds. */
-const leastTimeLeftMs = 10_000;
+/** Time that a `not_run` answer must leave the caller to retry elsewhere. */
+const minRemainingMs = 10_000;
 
-/** Returns one sentence for each promise that was broken. */
+/** Returns a description of each violated guarantee. */
 export function listViolations(
   record: simulation.SimulationRecord,
 ): readonly string[] {
   return [
-    ...checkOnce(record),
+    ...checkSingleEffect(record),
     ...checkHandover(record),
-    ...checkInquiry(record),
-    ...record.submissions.flatMap((send) => [
-      ...checkWhole(record, send),
-      ...checkFinal(record, send),
-      ...checkTime(send),
+    ...checkCallOutcome(record),
+    ...record.submissions.flatMap((submission) => [
+      ...checkText(record, submission),
+      ...checkFinal(record, submission),
+      ...checkTime(submission),
     ]),
   ];
 }
 
-function checkOnce(
+function checkSingleEffect(
   { isRepeatable, effects }: simulation.SimulationRecord,
 ): string[] {
   return !isRepeatable && effects.length > 1
@@ -36,103 +36,109 @@
   { leavingAtMs, starts }: simulation.SimulationRecord,
 ): string[] {
   if (leavingAtMs === undefined) return [];
-  const late = starts.filter(({ upstreamId, atMs }) =>
+  const lateStarts = starts.filter(({ upstreamId, atMs }) =>
     upstreamId === "g0/0" && atMs > leavingAtMs
   );
-  return late.length > 0 ? ["The leaving upstream started new work"] : [];
+  return lateStarts.length > 0
+    ? ["The leaving upstream started a new attempt"]
+    : [];
 }
 
-function checkInquiry(
-  { callOutcome: inquiry, effects }: simulation.SimulationRecord,
+function checkCallOutcome(
+  { callOutcome, effects }: simulation.SimulationRecord,
 ): string[] {
-  switch (inquiry?.kind) {
+  switch (callOutcome?.kind) {
     case "not_run":
       return effects.length === 0
         ? []
-        : ["The inquiry said not run of a call that took effect"];
+        : ["The outcome lookup returned not_run for a call that took effect"];
     case "finished":
-      return effects.length === 1
-        ? []
-        : [`The inquiry said finished after ${effects.length} effects`];
+      return effects.length === 1 ? [] : [
+        `The outcome lookup returned finished after ${effects.length} effects`,
+      ];
     default:
       return [];
   }
 }
 
-/** Expected text of a whole answer. */
-function composeWhole(
+/** Returns the expected text of a complete answer. */
+function composeExpectedText(
   record: simulation.SimulationRecord,
-  send: caller.Submission,
+  submission: caller.Submission,
 ): string {
   if (record.session !== "streamed model call") {
-    return agentNode.formatServiceAnswer(send.requestId);
+    return agentNode.formatServiceAnswer(submission.requestId);
   }
   return Array.from(
     { length: agentNode.chunkCount },
-    (_, index) => agentNode.formatChunk(send.attemptId ?? "", index),
+    (_, index) => agentNode.formatChunk(submission.attemptId ?? "", index),
   ).join("");
 }
 
-function checkWhole(
+function checkText(
   record: simulation.SimulationRecord,
-  send: caller.Submission,
+  submission: caller.Submission,
 ): string[] {
-  const text = send.before + send.text;
-  const whole = composeWhole(record, send);
-  if (send.isComplete && text !== whole) {
-    return [`A complete answer reads "${text}"`];
+  const text = submission.before + submission.text;
+  const expectedText = composeExpectedText(record, submission);
+  if (submission.isComplete && text !== expectedText) {
+    return [`A complete answer has the wrong text "${text}"`];
   }
-  return whole.startsWith(text) ? [] : [`A broken answer reads "${text}"`];
+  return expectedText.startsWith(text)
+    ? []
+    : [`An incomplete answer has the wrong text "${text}"`];
 }
 
 function checkFinal(
   record: simulation.SimulationRecord,
-  send: caller.Submission,
+  submission: caller.Submission,
 ): string[] {
-  const { final } = send;
+  const { final } = submission;
   const ownStarts = record.starts.filter(({ requestId }) =>
-    requestId === send.requestId
+    requestId === submission.requestId
   );
   const hasRun = record.isRepeatable
     ? ownStarts.length > 0
     : record.effects.length > 0;
-  if (send.isComplete && ownStarts.length === 0) {
-    return ["An answer was complete though nothing ran"];
+  if (submission.isComplete && ownStarts.length === 0) {
+    return ["An answer is complete, but no attempt started"];
   }
   switch (final?.kind) {
     case "not_run":
       return hasRun
-        ? [`Not run was said of a call that ran: ${final.reason}`]
+        ? [`The caller received not_run for a call that ran: ${final.reason}`]
         : [];
     case "failed":
     case "deadline_exceeded":
       if (!record.isRepeatable && final.kind === "failed") {
-        return ["A call that must not run twice was said to be repeatable"];
+        return [
+          "A call that must not run twice got the retryable answer failed",
+        ];
       }
-      if (final.ran === "no" && hasRun) return ["It ran, but no was said"];
+      if (final.ran === "no" && hasRun) return ["Wrong value of ran: no"];
       if (final.ran === "yes" && !hasRun) {
-        return ["It did not run, but yes was said"];
+        return ["Wrong value of ran: yes"];
       }
       return [];
     case "other_body":
-      return ["The own body was taken for another"];
+      return ["A retry with the same body was rejected as another body"];
     default:
       return [];
   }
 }
 
-function checkTime(send: caller.Submission): string[] {
-  if (send.lastWords > 1) return [`${send.lastWords} last words were said`];
-  if (!send.entry.isUp()) return [];
-  const { finalAtMs, final, atMs } = send;
+function checkTime(sent: caller.Submission): string[] {
+  if (sent.lastWords > 1) return [`${sent.lastWords} final answers were sent`];
+  if (!sent.entry.isUp()) return [];
+  const { finalAtMs, final, atMs } = sent;
   if (finalAtMs === undefined) {
-    return send.isAbandoned ? [] : ["No last word was said"];
+    return sent.isAbandoned ? [] : ["No final answer was sent"];
   }
   const tookMs = finalAtMs - atMs;
   if (tookMs > caller.deadlineMs + deadlineSlackMs) {
-    return [`The last word took ${tookMs} ms`];
+    return [`The final answer took ${tookMs} ms`];
   }
-  const isHeldBack = final?.kind === "not_run" &&
-    tookMs > caller.deadlineMs - leastTimeLeftMs;
-  return isHeldBack ? [`Not run was held back for ${tookMs} ms`] : [];
+  const isTooLate = final?.kind === "not_run" &&
+    tookMs > caller.deadlineMs - minRemainingMs;
+  return isTooLate ? [`The not_run answer took ${tookMs} ms`] : [];
 }
--- a/packages/anvilhinge/src/matrix/entry_node.ts
+++ b/packages/anvilhinge/src/matrix/entry_node.ts
@@ -1,4 +1,7 @@
-/** An entry of the matrix: the real session, runner and claims on fakes. */
+/**
+ * Entry of the fault matrix: the real session, runner and claim store with a
+ * simulated network, agents and object store.
+ */
 import * as random from "@anvilhinge/coordination/random";
 import type * as agentClient from "../entry/session/agent_client.ts";
 import * as descriptionCache from "../entry/session/description_cache.ts";
@@ -12,7 +15,10 @@
 import type * as network from "./network.ts";
 import type * as faultPlan from "./fault_plan.ts";
 
-/** Replaces parts of an entry by broken ones, to show what the checks find. */
+/**
+ * Wraps parts of an entry, to observe them or to replace them by faulty parts
+ * that the checks must detect.
+ */
 export interface Variant {
   readonly wrapClient?: (
     client: agentClient.AgentClient,
@@ -50,7 +56,7 @@
   readonly findOutcome: outcomeLookup.FindOutcome;
   pause(durationMs: number): void;
   kill(): void;
-  /** Called when the process dies. */
+  /** Adds a listener that is called when the process dies. */
   onExit(listener: () => void): void;
 }
 
@@ -60,23 +66,26 @@
 
 /** Creates an entry that is up. */
 export function createEntryNode(options: EntryNodeOptions): EntryNode {
-  const world = options.scheduler;
+  const timers = options.scheduler;
   let isUp = true;
   let pausedUntilMs = 0;
-  const deathListeners: (() => void)[] = [];
+  const exitListeners: (() => void)[] = [];
 
-  /** Runs a callback in the process: not once it died, later while paused. */
+  /**
+   * Runs a callback in the process: dropped after the process died, deferred
+   * while it is paused.
+   */
   function execute(callback: () => void): void {
     if (!isUp) return;
-    const leftMs = pausedUntilMs - world.now();
-    if (leftMs <= 0) return callback();
-    world.schedule(() => execute(callback), { delayMs: leftMs });
+    const remainingMs = pausedUntilMs - timers.now();
+    if (remainingMs <= 0) return callback();
+    timers.schedule(() => execute(callback), { delayMs: remainingMs });
   }
 
-  const own: scheduler.Scheduler = {
-    now: world.now,
+  const processScheduler: scheduler.Scheduler = {
+    now: timers.now,
     schedule(callback, { delayMs, signal }) {
-      world.schedule(() => {
+      timers.schedule(() => {
         execute(() => {
           if (!signal?.aborted) callback();
         });
@@ -88,56 +97,62 @@
     return options.agents.find((agent) => agent.upstream.address === address);
   }
 
-  /** Asks an agent and gives up after a while. */
+  /** Calls an agent; resolves to `unreachable` after a timeout. */
   function requestAgent<Answer>(
     name: string,
     address: string,
-    respond: (agent: agentNode.AgentNode) => Answer,
+    handle: (agent: agentNode.AgentNode) => Answer,
   ): Promise<Answer | "unreachable"> {
     return new Promise((resolve) => {
-      own.schedule(() => resolve("unreachable"), { delayMs: callTimeoutMs });
+      processScheduler.schedule(() => resolve("unreachable"), {
+        delayMs: callTimeoutMs,
+      });
       options.send(name, () => {
         const agent = findAgent(address);
         if (agent === undefined || !agent.isUp()) {
           return execute(() => resolve("unreachable"));
         }
-        const answer = respond(agent);
+        const answer = handle(agent);
         options.send(`${name}_answer`, () => execute(() => resolve(answer)));
       });
     });
   }
 
-  /** Opens a stream; a message that is lost leaves it silent. */
+  /** Opens a stream, which receives nothing if the message is lost. */
   function openStream(
     name: string,
     stream: agentClient.StreamOptions,
     start: (
       agent: agentNode.AgentNode,
-      target: agentNode.FrameReceiver,
+      receiver: agentNode.FrameReceiver,
     ) => void,
   ): void {
-    const target: agentNode.FrameReceiver = {
+    const receiver: agentNode.FrameReceiver = {
       signal: stream.signal,
       onFrame: (frame) => execute(() => stream.onFrame(frame)),
       onEnd: (end) => execute(() => stream.onEnd(end)),
     };
     options.send(name, () => {
       const agent = findAgent(stream.address);
-      if (agent !== undefined && agent.isUp()) return start(agent, target);
-      target.onEnd({ kind: "broken", sent: false, message: "refused" });
+      if (agent !== undefined && agent.isUp()) return start(agent, receiver);
+      receiver.onEnd({ kind: "broken", sent: false, message: "refused" });
     });
   }
 
-  const plainClient: agentClient.AgentClient = {
+  const networkClient: agentClient.AgentClient = {
     describe: (address) =>
       requestAgent("describe", address, (agent) => agent.describe()),
     run: (attempt, stream) =>
-      openStream("run", stream, (agent, target) => agent.run(attempt, target)),
+      openStream(
+        "run",
+        stream,
+        (agent, receiver) => agent.run(attempt, receiver),
+      ),
     resume: (request, stream) =>
       openStream(
         "resume",
         stream,
-        (agent, target) => agent.resume(request, target),
+        (agent, receiver) => agent.resume(request, receiver),
       ),
     seal: (request, address) =>
       requestAgent("seal", address, (agent) => agent.seal(request)),
@@ -149,16 +164,16 @@
     },
   };
 
-  /** Calls the store: faults are set as the call leaves. */
-  function runStore<Outcome>(
+  /** Calls the object store; the faults of the step apply to this call. */
+  function requestStore<Outcome>(
     name: string,
     call: () => Promise<Outcome>,
   ): Promise<Outcome> {
     for (const fault of options.plan.recordStep(name)) options.onFault(fault);
     return new Promise((resolve) =>
-      world.schedule(() =>
+      timers.schedule(() =>
         void call().then((outcome) => {
-          world.schedule(() => execute(() => resolve(outcome)), {
+          timers.schedule(() => execute(() => resolve(outcome)), {
             delayMs: storeLatencyMs,
           });
         }), { delayMs: storeLatencyMs })
@@ -166,23 +181,23 @@
   }
 
   const { store, variant } = options;
-  const ownStore: objectStore.ObjectStore = {
+  const entryStore: objectStore.ObjectStore = {
     ...store,
-    read: (key) => runStore("store_read", () => store.read(key)),
+    read: (key) => requestStore("store_read", () => store.read(key)),
     write: (key, value, condition) =>
-      runStore("store_write", () => store.write(key, value, condition)),
+      requestStore("store_write", () => store.write(key, value, condition)),
   };
-  const client = variant.wrapClient?.(plainClient) ?? plainClient;
-  const plainClaims = claimStore.createClaimStore({
-    store: ownStore,
-    scheduler: own,
+  const client = variant.wrapClient?.(networkClient) ?? networkClient;
+  const baseClaims = claimStore.createClaimStore({
+    store: entryStore,
+    scheduler: processScheduler,
     random: random.createRandomSource(seed),
-    readWallMs: world.now,
+    readWallMs: timers.now,
     half: "association",
   });
-  const claims = variant.wrapClaims?.(plainClaims) ?? plainClaims;
-  const clocks = descriptionCache.createDescriptionCache({
-    clock: world,
+  const claims = variant.wrapClaims?.(baseClaims) ?? baseClaims;
+  const descriptions = descriptionCache.createDescriptionCache({
+    clock: timers,
     client,
   });
 
@@ -190,9 +205,9 @@
     request: session.Request,
     { sink, resumePoint, signal }: RunCallOptions,
   ): void {
-    const plain = session.createSession(request, {
-      clock: world,
-      readWallMs: world.now,
+    const baseSession = session.createSession(request, {
+      clock: timers,
+      readWallMs: timers.now,
       createAttemptId: options.createAttemptId,
       chooseUpstream: options.chooseUpstream,
       takeRetry: () => true,
@@ -200,10 +215,10 @@
     });
     void runner.runSession({
       request,
-      session: variant.wrapSession?.(plain) ?? plain,
+      session: variant.wrapSession?.(baseSession) ?? baseSession,
       client,
-      agents: { descriptions: clocks, claims },
-      scheduler: own,
+      agents: { descriptions, claims },
+      scheduler: processScheduler,
       sink,
       callerSignal: signal,
       headers: {},
@@ -219,17 +234,17 @@
     findOutcome: outcomeLookup.createOutcomeLookup({
       claims,
       client,
-      scheduler: own,
-      readWallMs: world.now,
+      scheduler: processScheduler,
+      readWallMs: timers.now,
     }),
     pause(durationMs) {
-      pausedUntilMs = world.now() + durationMs;
+      pausedUntilMs = timers.now() + durationMs;
     },
     kill() {
       if (!isUp) return;
       isUp = false;
-      for (const listener of deathListeners) listener();
+      for (const listener of exitListeners) listener();
     },
-    onExit: (listener) => void deathListeners.push(listener),
+    onExit: (listener) => void exitListeners.push(listener),
   };
 }
--- a/packages/anvilhinge/src/matrix/fault_plan.ts
+++ b/packages/anvilhinge/src/matrix/fault_plan.ts
@@ -1,6 +1,6 @@
-/** The steps of a session and the faults that are planned for them. */
+/** Steps of a session and the faults that are planned at them. */
 
-/** What goes wrong at a step. */
+/** Kind of a fault that occurs at a step. */
 export type Fault =
   | "message_lost"
   | "message_late"
@@ -18,7 +18,7 @@
   | "rank_stalls"
   | "list_stale";
 
-/** All faults in the order of the table. */
+/** All faults in the order in which the matrix is printed. */
 export const allFaults: readonly Fault[] = [
   "message_lost",
   "message_late",
@@ -44,11 +44,11 @@
   readonly step: string;
 }
 
-/** Counts steps and says what goes wrong at each. */
+/** Counts the steps of a run and returns the faults planned at each. */
 export interface FaultPlan {
-  /** Registers a step and returns the faults that are planned for it. */
+  /** Records a step and returns the faults that are planned at it. */
   recordStep(name: string): readonly Fault[];
-  /** Steps in the order in which they were reached. */
+  /** Returns the steps in the order in which they were reached. */
   listSteps(): readonly string[];
 }
 
@@ -62,8 +62,8 @@
       counts.set(name, count);
       const step = `${name}#${count}`;
       steps.push(step);
-      return planned.filter((one) => one.step === step)
-        .map((one) => one.fault);
+      return planned.filter((item) => item.step === step)
+        .map((item) => item.fault);
     },
     listSteps: () => steps,
   };
--- a/packages/anvilhinge/src/matrix/golden.ts
+++ b/packages/anvilhinge/src/matrix/golden.ts
@@ -1,6 +1,6 @@
 /**
- * Records whole sessions as text: each message between the processes, and each
- * event and effect of the session's state machine, on a manual clock.
+ * Records complete sessions as text: each message between the processes, and
+ * each event and effect of the session's state machine, on a manual clock.
  */
 import type * as session from "../entry/session/session.ts";
 import type * as faultPlan from "./fault_plan.ts";
@@ -21,7 +21,7 @@
     (value as Partial<EncodedBuffer>).type === "Buffer";
 }
 
-/** Shows bytes as their text. */
+/** Replacer for `JSON.stringify` that writes bytes as UTF-8 text. */
 function formatValue(_key: string, value: unknown): unknown {
   if (value instanceof Uint8Array) return Buffer.from(value).toString("utf8");
   return isEncodedBuffer(value)
@@ -31,15 +31,15 @@
 
 function wrapSession(
   machine: session.Session,
-  record: (line: string) => void,
+  writeLine: (line: string) => void,
 ): session.Session {
   return {
     ...machine,
     handle(event) {
-      record(`  event  ${JSON.stringify(event, formatValue)}`);
+      writeLine(`  event  ${JSON.stringify(event, formatValue)}`);
       const effects = machine.handle(event);
       for (const effect of effects) {
-        record(`  effect ${JSON.stringify(effect, formatValue)}`);
+        writeLine(`  effect ${JSON.stringify(effect, formatValue)}`);
       }
       return effects;
     },
@@ -47,8 +47,8 @@
 }
 
 /**
- * Runs a session under its planned faults; returns one line for each step.
- * Throws when a planned step was not reached.
+ * Runs a session with its planned faults; returns a line for each message,
+ * event and effect. Throws if a planned step was not reached.
  */
 export async function recordSession(
   { session: name, planned }: GoldenSession,
@@ -76,7 +76,7 @@
   return lines.join("\n");
 }
 
-/** Formats the name of a recorded session. */
+/** Formats the name of a session, which is part of its snapshot key. */
 export function formatSessionName(
   { session: name, planned }: GoldenSession,
 ): string {
--- a/packages/anvilhinge/src/matrix/handover.ts
+++ b/packages/anvilhinge/src/matrix/handover.ts
@@ -1,4 +1,4 @@
-/** Hands the first upstream over to the other half while a call is under way. */
+/** Hands the first upstream over to the other half while a call is in flight. */
 import type * as assignment from "@anvilhinge/coordination/assignment";
 import type * as scheduler from "../ports/scheduler.ts";
 import type * as agentNode from "./agent_node.ts";
@@ -11,14 +11,17 @@
 }
 
 export interface Handover {
-  /** When the agent took the order to leave; undefined when it did not yet. */
+  /** Returns when the agent applied the leaving assignment; undefined before. */
   getLeavingAtMs(): number | undefined;
 }
 
-const startMs = 4;
-const resendMs = 500;
+const startDelayMs = 4;
+const resendIntervalMs = 500;
 
-/** Sends each order until the agent has taken it and its work has ended. */
+/**
+ * Sends the leaving assignment until the agent applies it, then, after the
+ * running attempts have ended, the serving assignment of the next half.
+ */
 export function startHandover(options: HandoverOptions): Handover {
   const { agent, scheduler: timers } = options;
   const { group, half } = agent.upstream;
@@ -33,10 +36,10 @@
     });
   }
 
-  function drive(): void {
-    const present = agent.getAssignment();
-    const isLeaving = present?.state === "leaving";
-    if (present?.half === nextHalf) return;
+  function sendNextOrder(): void {
+    const current = agent.getAssignment();
+    const isLeaving = current?.state === "leaving";
+    if (current?.half === nextHalf) return;
     if (!isLeaving) {
       const leaving = { group, half, epoch: 2, state: "leaving", nextHalf };
       sendOrder("order_leaving", leaving as assignment.Assignment);
@@ -44,9 +47,9 @@
       const serving = { group, half: nextHalf, epoch: 3, state: "serving" };
       sendOrder("order_serving", serving as assignment.Assignment);
     }
-    timers.schedule(drive, { delayMs: resendMs });
+    timers.schedule(sendNextOrder, { delayMs: resendIntervalMs });
   }
 
-  timers.schedule(drive, { delayMs: startMs });
+  timers.schedule(sendNextOrder, { delayMs: startDelayMs });
   return { getLeavingAtMs: () => leavingAtMs };
 }
--- a/packages/anvilhinge/src/matrix/main.ts
+++ b/packages/anvilhinge/src/matrix/main.ts
@@ -1,4 +1,4 @@
-/** Prints the fault matrix: cells that hold of all cells, by fault. */
+/** Prints the fault matrix: cells without violations of all, by fault. */
 import * as cells from "./cells.ts";
 import * as faultPlan from "./fault_plan.ts";
 import * as simulation from "./simulation.ts";
@@ -11,8 +11,8 @@
   columns: readonly (readonly cells.Cell[])[],
 ): string {
   const counts = columns.map((column) => {
-    const held = column.filter((cell) => cell.violations.length === 0).length;
-    return `${held}/${column.length}`.padStart(12);
+    const passed = column.filter((cell) => cell.violations.length === 0).length;
+    return `${passed}/${column.length}`.padStart(12);
   });
   return name.padEnd(20) + counts.join("");
 }
@@ -41,14 +41,14 @@
   console.log(
     formatRow(`pairs, seed ${seed}`, bySession.map(({ pairs }) => pairs)),
   );
-  const broken = bySession.flatMap(({ singles, pairs }) => [
+  const failed = bySession.flatMap(({ singles, pairs }) => [
     ...singles,
     ...pairs,
   ]).filter((cell) => cell.violations.length > 0);
-  for (const cell of broken) {
+  for (const cell of failed) {
     console.log(`${cells.formatCell(cell)}: ${cell.violations.join("; ")}`);
   }
-  process.exitCode = broken.length > 0 ? 1 : 0;
+  process.exitCode = failed.length > 0 ? 1 : 0;
 }
 
 void printMatrix();
--- a/packages/anvilhinge/src/matrix/matrix_test.ts
+++ b/packages/anvilhinge/src/matrix/matrix_test.ts
@@ -5,13 +5,13 @@
 const seed = 20_261_203;
 const pairCount = 40;
 
-function listBroken(all: readonly cells.Cell[]): readonly string[] {
+function formatFailures(all: readonly cells.Cell[]): readonly string[] {
   return all.filter((cell) => cell.violations.length > 0)
     .map((cell) => `${cells.formatCell(cell)}: ${cell.violations.join("; ")}`);
 }
 
 describe.each(simulation.allSessions)("%s", (session) => {
-  test("a quiet run ends with the whole answer", async () => {
+  test("a run without faults ends with the complete answer", async () => {
     const record = await simulation.runSimulation({ session, planned: [] });
     expect(record.submissions).toHaveLength(1);
     expect(record.submissions[0]).toMatchObject({
@@ -21,38 +21,38 @@
     expect(record.starts).toHaveLength(1);
   });
 
-  test("the promises hold under every fault at every step", async () => {
-    expect(listBroken(await cells.runSingleFaults(session))).toEqual([]);
+  test("the guarantees hold for every fault at every step", async () => {
+    expect(formatFailures(await cells.runSingleFaults(session))).toEqual([]);
   }, 60_000);
 
-  test("the promises hold under pairs of faults", async () => {
+  test("the guarantees hold for pairs of faults", async () => {
     const pairs = await cells.runFaultPairs(session, {
       seed,
       count: pairCount,
     });
-    expect(listBroken(pairs)).toEqual([]);
+    expect(formatFailures(pairs)).toEqual([]);
   }, 60_000);
 });
 
-describe("the matrix finds", () => {
-  async function findViolations(
+describe("the matrix detects", () => {
+  async function findFailures(
     variant: entryNode.Variant,
   ): Promise<readonly string[]> {
-    return listBroken(await cells.runSingleFaults("filing", { variant }));
+    return formatFailures(await cells.runSingleFaults("filing", { variant }));
   }
 
-  test("an entry that says not run without a seal", async () => {
-    const broken = await findViolations({
+  test("an entry that answers not_run without a seal", async () => {
+    const failures = await findFailures({
       wrapClient: (client) => ({
         ...client,
         seal: () => Promise.resolve("sealed"),
       }),
     });
-    expect(broken.join("\n")).toMatch(/took effect 2 times/);
+    expect(failures.join("\n")).toMatch(/took effect 2 times/);
   }, 60_000);
 
   test("an entry that dispatches without a claim", async () => {
-    const broken = await findViolations({
+    const failures = await findFailures({
       wrapClaims: (claims) => ({
         ...claims,
         submit: (operation) =>
@@ -61,11 +61,11 @@
             : claims.submit(operation),
       }),
     });
-    expect(broken.join("\n")).toMatch(/took effect 2 times/);
+    expect(failures.join("\n")).toMatch(/took effect 2 times/);
   }, 60_000);
 
-  test("an entry that calls every failure not run", async () => {
-    const broken = await findViolations({
+  test("an entry that answers not_run to every failure", async () => {
+    const failures = await findFailures({
       wrapSession: (session) => ({
         ...session,
         handle: (event) =>
@@ -79,6 +79,8 @@
           ),
       }),
     });
-    expect(broken.join("\n")).toMatch(/Not run was said of a call that ran/);
+    expect(failures.join("\n")).toMatch(
+      /The caller received not_run for a call that ran/,
+    );
   }, 60_000);
 });
--- a/packages/anvilhinge/src/matrix/network.ts
+++ b/packages/anvilhinge/src/matrix/network.ts
@@ -1,34 +1,40 @@
-/** Messages between the processes of the matrix, with planned faults. */
+/** Messages between the simulated processes, with planned faults. */
 import type * as scheduler from "../ports/scheduler.ts";
 import type * as faultPlan from "./fault_plan.ts";
 
-/** Sends one message; `name` names its step. */
+/** Sends one message; `name` is the name of its step. */
 export type SendMessage = (name: string, deliver: () => void) => void;
 
 export interface NetworkOptions {
   readonly scheduler: scheduler.Scheduler;
   readonly plan: faultPlan.FaultPlan;
-  /** Called for faults that do not concern the message itself. */
+  /** Called for every fault; the network itself applies message faults. */
   readonly onFault: (fault: faultPlan.Fault) => void;
-  /** Called as a message leaves and as each copy of it arrives. */
-  readonly onMessage?: (what: "sent" | "arrived", name: string) => void;
+  /** Called when a message is sent and when each copy of it arrives. */
+  readonly onMessage?: (event: "sent" | "arrived", name: string) => void;
 }
 
 /** One-way delay in milliseconds. */
 export const latencyMs = 1;
-const reorderedMs = 60;
-const doubledMs: readonly number[] = [latencyMs, 7, 6_500];
-const lateMs = 3_000;
-const veryLateMs = 8_000;
+const reorderDelayMs = 60;
+/**
+ * The last copy arrives after the time by which an attempt must start, which is
+ * 5 s after the agent was described.
+ */
+const duplicateDelaysMs: readonly number[] = [latencyMs, 7, 6_500];
+/** Before the time by which an attempt must start. */
+const lateDelayMs = 3_000;
+/** After the time by which an attempt must start. */
+const veryLateDelayMs = 8_000;
 
 /** Creates the function that sends messages. */
 export function createNetwork(options: NetworkOptions): SendMessage {
   function listDelays(faults: readonly faultPlan.Fault[]): readonly number[] {
     if (faults.includes("message_lost")) return [];
-    if (faults.includes("message_very_late")) return [veryLateMs];
-    if (faults.includes("message_late")) return [lateMs];
-    if (faults.includes("message_reordered")) return [reorderedMs];
-    if (faults.includes("message_doubled")) return doubledMs;
+    if (faults.includes("message_very_late")) return [veryLateDelayMs];
+    if (faults.includes("message_late")) return [lateDelayMs];
+    if (faults.includes("message_reordered")) return [reorderDelayMs];
+    if (faults.includes("message_doubled")) return duplicateDelaysMs;
     return [latencyMs];
   }
 
--- a/packages/anvilhinge/src/matrix/simulation.ts
+++ b/packages/anvilhinge/src/matrix/simulation.ts
@@ -1,7 +1,7 @@
 /**
- * Entries, agents, engines, the store and one caller on a manual scheduler. A
- * plan says what goes wrong at which step; the world runs to its end and keeps
- * a record of all that took effect and all that was said.
+ * Simulation of one call: entries, agents, engines, the object store and the
+ * caller on a manual scheduler. A plan determines which fault occurs at which
+ * step. The result records all effects and all that the caller received.
  */
 import type * as session from "../entry/session/session.ts";
 import type * as outcomeLookup from "../entry/session/outcome_lookup.ts";
@@ -16,14 +16,14 @@
 import * as network from "./network.ts";
 import * as faultPlan from "./fault_plan.ts";
 
-/** The four kinds of session. */
+/** Kind of the simulated call; the golden files and the matrix contain it. */
 export type SessionName =
   | "streamed model call"
   | "idempotent service call"
   | "filing"
   | "permit stamp during a handover";
 
-/** All sessions in the order of the table. */
+/** All sessions in the order in which the matrix is printed. */
 export const allSessions: readonly SessionName[] = [
   "streamed model call",
   "idempotent service call",
@@ -35,7 +35,7 @@
   readonly session: SessionName;
   readonly planned: readonly faultPlan.PlannedFault[];
   readonly variant?: entryNode.Variant;
-  /** Called at each message, with the instant in milliseconds. */
+  /** Called for each message, with the time in milliseconds. */
   readonly onMessage?: (
     message: {
       readonly atMs: number;
@@ -45,17 +45,20 @@
   ) => void;
 }
 
-/** What happened, once everything has come to rest. */
+/** Result of a simulation. */
 export interface SimulationRecord {
   readonly session: SessionName;
   readonly isRepeatable: boolean;
+  /** All steps in the order in which they were reached. */
   readonly steps: readonly string[];
+  /** Starts of attempts at engines. */
   readonly starts: readonly agentNode.WorkStart[];
+  /** Starts whose service call took effect. */
   readonly effects: readonly agentNode.WorkStart[];
   readonly submissions: readonly caller.Submission[];
-  /** Present when the call must not run twice. */
+  /** Outcome lookup after the run, for a call that must not run twice. */
   readonly callOutcome?: outcomeLookup.CallOutcome;
-  /** When the first upstream learnt that it leaves its half. */
+  /** Time at which the first agent applied the leaving assignment. */
   readonly leavingAtMs?: number;
 }
 
@@ -63,13 +66,15 @@
 const half = "association";
 const pauseMs = 6_000;
 const storeFaultMs = 5_000;
-const storeSlowMs = 300;
-const storeLateMs = 3_000;
+const storeDelayMs = 300;
+const lateWriteDelayMs = 3_000;
 const rankStallMs = 20_000;
+/** Time within which every session settles. */
 const settleMs = 75_000;
-const inquiryMs = 15_000;
+/** Time within which an outcome lookup ends. */
+const lookupMs = 15_000;
 
-/** Runs one session under the planned faults until all is at rest. */
+/** Runs one session with the planned faults until it has settled. */
 export async function runSimulation(
   options: SimulationOptions,
 ): Promise<SimulationRecord> {
@@ -109,7 +114,7 @@
     });
     return agent;
   });
-  const first = agents[0] as agentNode.AgentNode;
+  const firstAgent = agents[0] as agentNode.AgentNode;
   const entries = ["A", "B", "C"].map((id) =>
     entryNode.createEntryNode({
       id,
@@ -125,10 +130,16 @@
     })
   );
 
-  function chooseUpstream(tried: ReadonlySet<string>): session.UpstreamChoice {
-    const agent = agents.find(({ upstream }) => !tried.has(upstream.id));
+  function chooseUpstream(
+    triedIds: ReadonlySet<string>,
+  ): session.UpstreamChoice {
+    const agent = agents.find(({ upstream }) => !triedIds.has(upstream.id));
     return agent === undefined
-      ? { kind: "none", reason: "All were tried", retryAfterMs: 1_000 }
+      ? {
+        kind: "none",
+        reason: "All upstreams were tried",
+        retryAfterMs: 1_000,
+      }
       : { kind: "chosen", upstream: agent.upstream };
   }
 
@@ -143,9 +154,9 @@
   function applyFault(fault: faultPlan.Fault): void {
     switch (fault) {
       case "agent_dies":
-        return first.kill({ isPermanent: false });
+        return firstAgent.kill({ isPermanent: false });
       case "agent_gone":
-        return first.kill({ isPermanent: true });
+        return firstAgent.kill({ isPermanent: true });
       case "entry_dies":
         return entries[0]?.kill();
       case "entry_pauses":
@@ -153,17 +164,17 @@
       case "store_down":
         return setStoreFault({ kind: "down" });
       case "store_slow":
-        return setStoreFault({ kind: "slow", delayMs: storeSlowMs });
+        return setStoreFault({ kind: "slow", delayMs: storeDelayMs });
       case "store_answer_lost":
         return setStoreFault({ kind: "answer_lost" }, 1);
       case "store_write_late":
-        return setStoreFault({ kind: "late", delayMs: storeLateMs }, 1);
+        return setStoreFault({ kind: "late", delayMs: lateWriteDelayMs }, 1);
       case "rank_stalls":
-        return first.stall(rankStallMs);
+        return firstAgent.stall(rankStallMs);
       case "list_stale":
-        // The entries go on believing in the ownership of before.
-        return first.setAssignment({
-          group: first.upstream.group,
+        // The entries keep an outdated view of the half that owns the group.
+        return firstAgent.setAssignment({
+          group: firstAgent.upstream.group,
           half: "water_board",
           epoch: 9,
           state: "serving",
@@ -177,28 +188,30 @@
     }
   }
 
-  const running = caller.runCaller({
+  const runningCaller = caller.runCaller({
     scheduler: timers,
     entries,
     isModel,
     isRepeatable,
   });
-  const handedOver = options.session === "permit stamp during a handover"
-    ? handover.startHandover({ scheduler: timers, send, agent: first })
+  const handoverRun = options.session === "permit stamp during a handover"
+    ? handover.startHandover({ scheduler: timers, send, agent: firstAgent })
     : undefined;
   await timers.advanceAsync(settleMs);
   storeFaults.set({ kind: "none" });
-  const outcome = isRepeatable ? undefined : requestOutcome(entries, running);
-  await timers.advanceAsync(inquiryMs);
+  const lookup = isRepeatable
+    ? undefined
+    : findCallOutcome(entries, runningCaller);
+  await timers.advanceAsync(lookupMs);
   return {
     session: options.session,
     isRepeatable,
     steps: plan.listSteps(),
     starts,
     effects,
-    submissions: running.listSubmissions(),
-    callOutcome: await outcome,
-    leavingAtMs: handedOver?.getLeavingAtMs(),
+    submissions: runningCaller.listSubmissions(),
+    callOutcome: await lookup,
+    leavingAtMs: handoverRun?.getLeavingAtMs(),
   };
 }
 
@@ -208,13 +221,13 @@
   return { id: `${group}/0`, group, rank: 0, address, half, epoch: 1 };
 }
 
-function requestOutcome(
+function findCallOutcome(
   entries: readonly entryNode.EntryNode[],
-  running: caller.RunningCaller,
+  runningCaller: caller.RunningCaller,
 ): Promise<outcomeLookup.CallOutcome> | undefined {
-  const last = entries.at(-1);
-  return last?.findOutcome({
+  const lastEntry = entries.at(-1);
+  return lastEntry?.findOutcome({
     workspace: caller.workspace,
-    requestId: running.callId,
+    requestId: runningCaller.callId,
   });
 }
