--- a/packages/anvilhinge/src/matrix/agent_node.ts
+++ b/packages/anvilhinge/src/matrix/agent_node.ts
@@ -229,11 +229,11 @@
     },
     getAssignment: () => active?.table.getAssignment(),
     countRunning: () => active?.table.countRunning() ?? 0,
-    kill({ isPermanent: isGone }) {
+    kill({ isPermanent }) {
       if (active === undefined) return;
       breakStreams(active);
       active = undefined;
-      if (isGone) return;
+      if (isPermanent) return;
       timers.schedule(() => {
         active = startProcess();
       }, { delayMs: restartDelayMs });
--- a/packages/anvilhinge/src/matrix/golden.ts
+++ b/packages/anvilhinge/src/matrix/golden.ts
@@ -61,8 +61,8 @@
       wrapSession: (machine) =>
         wrapSession(machine, (line) => lines.push(line)),
     },
-    onMessage: ({ atMs, event: what, name }) =>
-      void lines.push(`${atMs} ms ${what} ${name}`),
+    onMessage: ({ atMs, event: kind, name }) =>
+      void lines.push(`${atMs} ms ${kind} ${name}`),
   });
   for (const { step } of planned) {
     if (result.steps.includes(step)) continue;
--- a/packages/anvilhinge/src/matrix/main.ts
+++ b/packages/anvilhinge/src/matrix/main.ts
@@ -30,8 +30,10 @@
   for (const [index, session] of simulation.allSessions.entries()) {
     console.log(`${index + 1}: ${session}`);
   }
-  const numbers = simulation.allSessions.map((_, index) => `${index + 1}`);
-  console.log("".padEnd(20) + numbers.map((one) => one.padStart(12)).join(""));
+  const labels = simulation.allSessions.map((_, index) => `${index + 1}`);
+  console.log(
+    "".padEnd(20) + labels.map((label) => label.padStart(12)).join(""),
+  );
   for (const fault of faultPlan.allFaults) {
     const columns = bySession.map(({ singles }) =>
       singles.filter(({ planned }) => planned[0]?.fault === fault)
--- a/packages/anvilhinge/src/matrix/simulation.ts
+++ b/packages/anvilhinge/src/matrix/simulation.ts
@@ -95,8 +95,8 @@
     scheduler: timers,
     plan,
     onFault: applyFault,
-    onMessage: (what, name) =>
-      options.onMessage?.({ atMs: timers.now(), event: what, name }),
+    onMessage: (event, name) =>
+      options.onMessage?.({ atMs: timers.now(), event, name }),
   });
   const agents = Array.from({ length: upstreamCount }, (_, index) => {
     const agent = agentNode.createAgentNode({
--- a/packages/anvilhinge/src/testing/handover_harness.ts
+++ b/packages/anvilhinge/src/testing/handover_harness.ts
@@ -182,11 +182,11 @@
       logger: logger.createLogger({ component: "entry", level: "error" }),
       state,
       listMembers: () =>
-        entries.filter((one) => one.half === half && !one.isDead()).map((
-          one,
+        entries.filter((entry) => entry.half === half && !entry.isDead()).map((
+          entry,
         ) => ({
-          id: one.id,
-          address: one.id,
+          id: entry.id,
+          address: entry.id,
           failureDomain: "local",
           state: "live" as const,
         })),
@@ -235,7 +235,7 @@
   }
 
   function findEntry(id: string) {
-    return entries.find((one) => one.id === id && !one.isDead());
+    return entries.find((entry) => entry.id === id && !entry.isDead());
   }
 
   function createAgent(rank: number) {
@@ -409,7 +409,7 @@
   await advanceUntil(() => getAssignment() !== undefined, 20_000);
   await scheduler.advanceAsync(1_000);
   const listEntries = (half: Half) =>
-    entries.filter((one) => one.half === half);
+    entries.filter((entry) => entry.half === half);
   return {
     scheduler,
     storeFaults,
@@ -422,8 +422,8 @@
     getAssignment: getAssignment,
     advanceUntil,
     getHolder: (half: Half) =>
-      listEntries(half).find((one) =>
-        !one.isDead() && one.duties.isHolder(group)
+      listEntries(half).find((entry) =>
+        !entry.isDead() && entry.duties.isHolder(group)
       ),
     /** Requests a move from an entry of the operator's half. */
     move(to: string, { operatorHalf: by = "association", entryIndex: at = 0 }: {
--- a/packages/coordination/src/testing/dispatch_simulation.ts
+++ b/packages/coordination/src/testing/dispatch_simulation.ts
@@ -33,7 +33,7 @@
   readonly abandoned: number;
   /** Requests that were refused and not retried again. */
   readonly refused: number;
-  /** All requests; a retry does not count as another one. */
+  /** All requests; retries are not counted. */
   readonly arrived: number;
   /** Refusals while a slot was free. */
   readonly refusedWithFreeSlot: number;
@@ -125,7 +125,7 @@
           leftMs: caller.firstAtMs + deadlineMs - nowMs,
           avoided: [],
         })),
-      running: [...running].filter(([, one]) => one.entry === entry)
+      running: [...running].filter(([, item]) => item.entry === entry)
         .map(([key, { upstreamId }]) => ({
           key,
           upstreamId,
@@ -145,12 +145,14 @@
     const decisions = [...hub.receive(buildState(entry)).values()];
     // Applies all grants of a decision before its denials; otherwise, the slots
     // granted by this decision would count as free at its denials.
-    for (const { key, upstreamId } of decisions.flatMap((one) => one.grants)) {
+    for (
+      const { key, upstreamId } of decisions.flatMap((item) => item.grants)
+    ) {
       const request = waiting.get(key);
       if (request !== undefined) start(key, request, upstreamId);
     }
     for (
-      const { key, retryAfterMs } of decisions.flatMap((one) => one.denials)
+      const { key, retryAfterMs } of decisions.flatMap((item) => item.denials)
     ) {
       const request = waiting.get(key);
       if (request !== undefined) refuse(key, request, retryAfterMs);
@@ -177,7 +179,7 @@
     waiting.delete(key);
     running.set(key, { upstreamId, entry: caller.entry });
     const runningOnRank = [...running.values()]
-      .filter((one) => one.upstreamId === upstreamId).length;
+      .filter((item) => item.upstreamId === upstreamId).length;
     result.maxRunningPerRank = Math.max(
       result.maxRunningPerRank,
       runningOnRank,
--- a/packages/coordination/src/testing/group_simulation.ts
+++ b/packages/coordination/src/testing/group_simulation.ts
@@ -99,7 +99,7 @@
   frozenFor: number;
 }
 
-const emptyMap: rankOrders.MapLayers = [[[0]]];
+const initialLayers: rankOrders.MapLayers = [[[0]]];
 const maxSendAttempts = 4;
 const leadPasses = 2;
 const stallSteps = 200;
@@ -119,7 +119,7 @@
     { length: options.leaderCount },
     (_, rank) => ({
       rank,
-      createVersion: createVersions(rank),
+      createVersion: createVersionGenerator(rank),
       tasks: [],
       round: undefined,
       lastHeldStep: 0,
@@ -134,7 +134,7 @@
   let violation: string | undefined;
   let ranks: Rank[] = [];
 
-  function createVersions(rank: number): mapVersions.CreateMapVersion {
+  function createVersionGenerator(rank: number): mapVersions.CreateMapVersion {
     return mapVersions.createMapVersionGenerator({
       rank,
       readWallMs: () => nowMs,
@@ -144,7 +144,7 @@
   function openGroup(): void {
     ranks = Array.from({ length: options.rankCount }, () => ({
       sequence: 0,
-      map: { version: 0, layers: emptyMap },
+      map: { version: 0, layers: initialLayers },
       prepared: undefined,
       highestVersion: 0,
       armed: undefined,
@@ -378,11 +378,11 @@
       rank.prepared = undefined;
       rank.armed = undefined;
     }
-    const [first, ...rest] = ranks.map(({ map }) =>
+    const [first, ...others] = ranks.map(({ map }) =>
       `${map.version}:${JSON.stringify(map.layers)}`
     );
-    if (rest.some((map) => map !== first)) {
-      violation ??= `pass ${step}: ${[first, ...rest].join(" ")}`;
+    if (others.some((map) => map !== first)) {
+      violation ??= `pass ${step}: ${[first, ...others].join(" ")}`;
     }
   }
 
@@ -397,7 +397,7 @@
       leader.tasks = [];
       leader.round = undefined;
       leader.lastHeldStep = step + switchRound.maxAheadPasses;
-      leader.createVersion = createVersions(leader.rank);
+      leader.createVersion = createVersionGenerator(leader.rank);
     }
     if (leader.tasks.length === 0) {
       if (leader.round === undefined && isLikely(0.3)) startRound(leader);
@@ -408,7 +408,7 @@
     task?.();
   }
 
-  function stallMachine(): void {
+  function stopMachine(): void {
     const index = Math.floor(draw() * options.rankCount);
     ranks[index]!.stallLeft = stallSteps;
   }
@@ -427,7 +427,7 @@
       runLeader(leaders[Math.floor(draw() * leaders.length)]!);
     }
     for (const rank of ranks) rank.stallLeft = Math.max(0, rank.stallLeft - 1);
-    if (isLikely(faults.standstill)) stallMachine();
+    if (isLikely(faults.standstill)) stopMachine();
     if (isLikely(faults.newEpoch)) {
       epoch += 1;
       openGroup();
--- a/packages/coordination/src/testing/round_model.ts
+++ b/packages/coordination/src/testing/round_model.ts
@@ -105,7 +105,10 @@
 
 const emptyMap = { layers: [] };
 
-/** Creates the model of one group. */
+/**
+ * Creates the model of one group; its ranks start with a recorded map unless
+ * `startsCold` is set.
+ */
 export function createRoundModel(options: ModelOptions): RoundModel {
   const advanceRank = options.advanceRank ?? roundRank.advanceRank;
   const advanceLeader = options.advanceLeader ?? roundLeader.advanceLeader;
@@ -289,8 +292,8 @@
     const answer: roundLeader.StoreAnswer = isAccepted
       ? { kind: "written", call, version }
       : { kind: "conflict", call };
-    const writes = state.writes.map((one) =>
-      one === write ? { ...one, answer } : one
+    const writes = state.writes.map((pending) =>
+      pending === write ? { ...pending, answer } : pending
     );
     return isAccepted
       ? { ...state, writes, record: write.record, version }
@@ -422,7 +425,7 @@
           return applyWrite(state, action.write);
         case "answer_write": {
           const { leader, answer } = action.write;
-          const writes = state.writes.filter((one) => one !== action.write);
+          const writes = state.writes.filter((write) => write !== action.write);
           return feedLeader({ ...state, writes }, leader, answer!);
         }
       }
@@ -462,7 +465,7 @@
 
 /**
  * Visits every reachable state; states that differ only in the order of the
- * ranks count as one.
+ * ranks count as a single state.
  */
 export function exploreModel(
   model: RoundModel,
