--- a/packages/anvilhinge/src/entry/control/roster_node.ts
+++ b/packages/anvilhinge/src/entry/control/roster_node.ts
@@ -1,4 +1,4 @@
-/** Runs the entry's roster: sends its messages and feeds what arrives. */
+/** Runs the entry's roster: sends its messages and passes on received ones. */
 import type * as clock from "@anvilhinge/coordination/clock";
 import * as roster from "@anvilhinge/coordination/roster";
 import type * as datagrams from "../../adapters/datagrams.ts";
@@ -6,7 +6,7 @@
 import type * as logger from "../../telemetry/logger.ts";
 import type * as routingView from "../routing/routing_view.ts";
 
-/** What an entry tells the others of itself. */
+/** Details of an entry, sent to the other entries. */
 export interface EntryDetails {
   /** Address for callers as `host:port`. */
   readonly callers: string;
@@ -21,13 +21,16 @@
   EntryDetails,
   routingView.ViewStatus
 >;
-type Sends = readonly roster.RosterSend<EntryDetails, routingView.ViewStatus>[];
+type OutgoingMessages = readonly roster.RosterSend<
+  EntryDetails,
+  routingView.ViewStatus
+>[];
 
 export interface RosterNodeOptions {
   readonly self: Omit<EntryMember, "revision">;
   readonly seeds: readonly string[];
   readonly scheduler: scheduler.Scheduler;
-  /** Counts time in which the machine was suspended too. */
+  /** Clock that also advances while the machine is suspended. */
   readonly elapsed: clock.Clock;
   readonly readHubStatus: () => routingView.ViewStatus;
   readonly onHubStatus: (
@@ -41,17 +44,17 @@
 export interface RosterNode {
   handle(message: RosterMessage): void;
   setState(state: Pick<EntryDetails, "isReady" | "isLeaving">): void;
-  /** Adds addresses of entries, after the settings named new ones. */
+  /** Adds addresses of entries that were added to the settings. */
   addSeeds(addresses: readonly string[]): void;
   listLive(): readonly EntryMember[];
   getHub(): EntryMember;
   isHub(): boolean;
 }
 
-/** Starts the roster; it sends from its first tick on. */
+/** Starts the roster; it sends its first messages at the first tick. */
 export function startRosterNode(options: RosterNodeOptions): RosterNode {
   const { scheduler, signal, logger } = options;
-  const core = roster.createRoster<EntryDetails, routingView.ViewStatus>({
+  const machine = roster.createRoster<EntryDetails, routingView.ViewStatus>({
     clock: options.elapsed,
     readHubStatus: options.readHubStatus,
     onHubStatus: options.onHubStatus,
@@ -59,47 +62,50 @@
     seeds: options.seeds,
   });
   let { details } = options.self;
-  let shownHub: string | undefined;
-  let shownLive = "";
+  let loggedHubId: string | undefined;
+  let loggedIds = "";
 
-  function send(sends: Sends): void {
-    for (const { to, message } of sends) options.sockets.send(message, to);
+  function send(messages: OutgoingMessages): void {
+    for (const { to, message } of messages) options.sockets.send(message, to);
   }
 
-  /** Logs what changed in the belief of who is there. */
-  function showChanges(): void {
-    const hub = core.getHub().id;
-    if (hub !== shownHub) {
-      shownHub = hub;
-      logger.info("The hub is", { hub, isOwn: core.isHub() });
+  /** Logs changes of the hub and of the entries that accept requests. */
+  function writeMembershipLog(): void {
+    const hub = machine.getHub().id;
+    if (hub !== loggedHubId) {
+      loggedHubId = hub;
+      logger.info("Hub changed", { hub, isOwn: machine.isHub() });
     }
-    const ids = core.listLive()
+    const ids = machine.listLive()
       .filter(({ details: { isReady, isLeaving } }) => isReady && !isLeaving)
       .map(({ id }) => id);
     const live = [...ids].sort().join(" ");
-    if (live === shownLive) return;
-    shownLive = live;
-    logger.info("Entries that take requests", { count: ids.length, ids });
+    if (live === loggedIds) return;
+    loggedIds = live;
+    logger.info("Entries that accept requests changed", {
+      count: ids.length,
+      ids,
+    });
   }
 
   function tick(): void {
-    send(core.tick());
-    showChanges();
+    send(machine.tick());
+    writeMembershipLog();
     scheduler.schedule(tick, { delayMs: roster.tickMs, signal });
   }
 
   scheduler.schedule(tick, { delayMs: 0, signal });
   return {
     handle(message) {
-      send(core.handle(message));
+      send(machine.handle(message));
     },
     setState(state) {
       details = { ...details, ...state };
-      send(core.setDetails(details));
+      send(machine.setDetails(details));
     },
-    addSeeds: core.addSeeds,
-    listLive: core.listLive,
-    getHub: core.getHub,
-    isHub: core.isHub,
+    addSeeds: machine.addSeeds,
+    listLive: machine.listLive,
+    getHub: machine.getHub,
+    isHub: machine.isHub,
   };
 }
