--- a/packages/anvilhinge/src/testing/rank_group_harness.ts
+++ b/packages/anvilhinge/src/testing/rank_group_harness.ts
@@ -77,7 +77,7 @@
 const answerTimeoutMs = 200;
 const expertCount = 64;
 const runningRequests = 6;
-/** Number of consecutive experts in demand; one rank holds most of them. */
+/** Experts in demand; consecutive, so that one rank holds most of them. */
 const hotExpertCount = 6;
 /** Tokens per pass for the expert most in demand. */
 const tokensPerPass = 400;
