--- a/packages/anvilhinge/src/matrix/steps.ts
+++ b/packages/anvilhinge/src/matrix/fault_plan.ts
@@ -1,6 +1,6 @@
-/** The steps of a session and the faults that are planned for them. */
+/** Steps of a session and the faults that are planned at them. */
 
-/** What goes wrong at a step. */
+/** Kind of a fault that occurs at a step. */
 export type Fault =
   | "message_lost"
   | "message_late"
@@ -18,7 +18,7 @@
   | "rank_stalls"
   | "list_stale";
 
-/** All faults in the order of the table. */
+/** All faults in the order in which the matrix is printed. */
 export const allFaults: readonly Fault[] = [
   "message_lost",
   "message_late",
@@ -44,26 +44,26 @@
   readonly step: string;
 }
 
-/** Counts steps and says what goes wrong at each. */
-export interface Plan {
-  /** Registers a step and returns the faults that are planned for it. */
-  reach(name: string): readonly Fault[];
-  /** Steps in the order in which they were reached. */
+/** Counts the steps of a run and returns the faults planned at each. */
+export interface FaultPlan {
+  /** Records a step and returns the faults that are planned at it. */
+  recordStep(name: string): readonly Fault[];
+  /** Returns the steps in the order in which they were reached. */
   listSteps(): readonly string[];
 }
 
 /** Creates a plan; each fault occurs once. */
-export function createPlan(planned: readonly PlannedFault[]): Plan {
+export function createFaultPlan(planned: readonly PlannedFault[]): FaultPlan {
   const counts = new Map<string, number>();
   const steps: string[] = [];
   return {
-    reach(name) {
+    recordStep(name) {
       const count = (counts.get(name) ?? 0) + 1;
       counts.set(name, count);
       const step = `${name}#${count}`;
       steps.push(step);
-      return planned.filter((one) => one.step === step)
-        .map((one) => one.fault);
+      return planned.filter((item) => item.step === step)
+        .map((item) => item.fault);
     },
     listSteps: () => steps,
   };
--- a/packages/coordination/src/testing/lease_node.ts
+++ b/packages/coordination/src/testing/lease_node.ts
@@ -1,4 +1,7 @@
-/** A simulated node that runs a lease machine against a simulated store. */
+/**
+ * A simulated node that runs the lease state machine against a simulated object
+ * store.
+ */
 import * as lease from "../lease.ts";
 import type * as random from "../random.ts";
 import type * as simulation from "./simulation.ts";
@@ -9,12 +12,12 @@
   readonly simulation: simulation.Simulation;
   readonly store: simulation.SimulatedStore;
   readonly random: random.RandomSource;
-  readonly getPlace: () => number;
+  readonly getCandidateIndex: () => number;
   readonly node: simulation.SimulatedNode;
-  readonly onStarted?: (fencingNumber: number) => void;
+  readonly onStartedHolding?: (fencingNumber: number) => void;
 }
 
-/** Starts the machine on the node; returns it for inspection. */
+/** Starts the lease on the node; tests can inspect and feed the returned lease. */
 export function runLeaseNode(options: LeaseNodeOptions): lease.Lease {
   const { node, store, key } = options;
   const timers = new Map<lease.TimerName, AbortController>();
@@ -25,14 +28,14 @@
     createId: () => `${options.id}-${nextId++}`,
     holder: options.id,
     address: `${options.id}:1`,
-    getCandidateIndex: options.getPlace,
+    getCandidateIndex: options.getCandidateIndex,
   });
 
   function setTimer(name: lease.TimerName, delayMs: number): void {
     timers.get(name)?.abort();
-    const replaced = new AbortController();
-    timers.set(name, replaced);
-    const { signal } = replaced;
+    const controller = new AbortController();
+    timers.set(name, controller);
+    const { signal } = controller;
     options.simulation.schedule(
       () => node.run(() => signal.aborted || feed({ kind: "timer", name })),
       { delayMs, signal },
@@ -54,7 +57,7 @@
       case "set_timer":
         return setTimer(effect.name, effect.delayMs);
       case "started_holding":
-        return options.onStarted?.(effect.fencingNumber);
+        return options.onStartedHolding?.(effect.fencingNumber);
       case "stopped_holding":
         return;
     }
