--- a/packages/anvilhinge/src/entry/choice/upstreams.ts
+++ b/packages/anvilhinge/src/entry/choice/upstreams.ts
@@ -136,6 +136,8 @@
       changedPools.add(previous);
       poolOfGroup.delete(name);
     }
+    // The last member of a pool is never ejected, so that a group with a single
+    // rank has no pool.
     health.setPool(`group/${name}`, {
       members: spec === undefined || spec.ranks.length === 1
         ? []
--- a/packages/anvilhinge/src/stand_ins/instance_list_http.ts
+++ b/packages/anvilhinge/src/stand_ins/instance_list_http.ts
@@ -49,7 +49,7 @@
     case "PUT":
       return register(request, { id, registry });
     case "POST/leave":
-      registry.leave(id);
+      registry.markLeaving(id);
       return httpServer.encodeJson(200, {});
     case "DELETE":
       registry.remove(id);
@@ -59,14 +59,14 @@
   }
 }
 
-interface Registration {
+interface RegistrationTarget {
   readonly id: string;
   readonly registry: instanceList.InstanceRegistry;
 }
 
 function register(
   request: httpServer.HttpRequest,
-  { id, registry }: Registration,
+  { id, registry }: RegistrationTarget,
 ): httpServer.HttpAnswer {
   const json = httpServer.parseJson(request);
   if (json.kind === "invalid") return httpServer.encodeError(400, json.message);
--- a/packages/anvilhinge/src/stand_ins/weight_store_http.ts
+++ b/packages/anvilhinge/src/stand_ins/weight_store_http.ts
@@ -1,6 +1,7 @@
 /**
  * HTTP adapter of the weight store stand-in:
- * `GET /weights/<name>?bytes=` is answered when that many bytes have arrived.
+ * `GET /weights/<name>?bytes=` is answered at the time at which a download of
+ * that many bytes would complete.
  */
 import type * as scheduler from "../ports/scheduler.ts";
 import type * as faults from "./faults.ts";
@@ -33,7 +34,7 @@
     const message = "Query parameter bytes must be a whole number from 0 on";
     return httpServer.encodeError(400, message);
   }
-  const delayMs = store.request(bytes) - timers.now();
+  const delayMs = store.scheduleDownload(bytes) - timers.now();
   await new Promise<void>((resolve) => timers.schedule(resolve, { delayMs }));
   return httpServer.encodeJson(200, { bytes });
 }
--- a/packages/coordination/bench/leases.ts
+++ b/packages/coordination/bench/leases.ts
@@ -64,7 +64,7 @@
       store,
       random: source,
       node: entry.node,
-      getPlace: () => getCandidateIndex(entry, key),
+      getCandidateIndex: () => getCandidateIndex(entry, key),
     });
   }
 
--- a/scripts/bench.ts
+++ b/scripts/bench.ts
@@ -161,7 +161,7 @@
     const agentEndUsage = await sumUsage(agents);
     let tokens = 0;
     for (let index = 0; index < requestCount; index += 1) {
-      tokens += answer.describeAnswer(buildChat(index)).length;
+      tokens += answer.generateTokens(buildChat(index)).length;
     }
     const entryUs = (entryEndUsage.cpuMs - entryStartUsage.cpuMs) * 1_000;
     const agentUs = (agentEndUsage.cpuMs - agentStartUsage.cpuMs) * 1_000;
--- a/scripts/demo.ts
+++ b/scripts/demo.ts
@@ -69,7 +69,7 @@
 function describeSkew(running: system.RunningSystem): string {
   return running.groups.flatMap(({ name, engine }) => {
     if (engine === undefined) return [];
-    const { rankUs } = engine.readStep();
+    const { rankUs } = engine.readLastStep();
     const meanUs = rankUs.reduce((sum, us) => sum + us, 0) / rankUs.length;
     const skew = meanUs === 0 ? 1 : Math.max(...rankUs) / meanUs;
     return [`${name} ${skew.toFixed(2)}`];
@@ -84,7 +84,7 @@
     ["Ended with a reported error", report.failed],
     ["Incorrect answers", report.wrong],
     ["Filings accepted", report.filings],
-    ["Filings duplicated or lost", report.misfiled],
+    ["Filings duplicated or lost", report.filingErrors],
     ["Time to first token", describeTimes(report.firstToken)],
     ["Time between tokens", describeTimes(report.betweenTokens)],
     ["Step-time skew (slowest over mean)", skew],
@@ -129,7 +129,7 @@
   await running.stop();
   abort.abort();
   printReport(report, skew);
-  return report.wrong === 0 && report.misfiled === 0 &&
+  return report.wrong === 0 && report.filingErrors === 0 &&
     report.whole + report.notRun + report.failed === report.requests &&
     report.failed === 0;
 }
