--- a/packages/coordination/src/ambiguous_write.ts
+++ b/packages/coordination/src/ambiguous_write.ts
@@ -2,10 +2,10 @@
  * Determines the outcome of a conditional write whose answer was lost. The
  * write carries a change id that the object keeps in its history. The outcome
  * is `not_accepted` only when the write can no longer take effect: its
- * condition has failed permanently, or a later write of this process (a fence)
- * has raised the version that the condition requires. An object is never
- * removed from the object store, only marked as absent: removal would delete
- * its history.
+ * condition has failed permanently, because the object has a higher version. If
+ * the version has not changed, this process raises it with a write that has no
+ * other effect (a fence). An object is never removed from the object store,
+ * only marked as absent: removal would delete its history.
  */
 
 /** One change in the history of an object. */
@@ -17,7 +17,7 @@
   readonly fences?: string;
 }
 
-/** Version and recent changes of an object, as read from the store. */
+/** Version and recent changes of an object, as read from the object store. */
 export interface ObjectHistory {
   /** 0 = the object does not exist. */
   readonly version: number;
@@ -96,6 +96,7 @@
   return oldestChange.previousVersion <= sinceVersion;
 }
 
+/** Settles the write by the history, or requests a fence. */
 function decide(
   history: ObjectHistory,
   write: AmbiguousWrite,
--- a/packages/coordination/src/assignment.ts
+++ b/packages/coordination/src/assignment.ts
@@ -1,10 +1,10 @@
 /**
  * Ownership of a group by a half, and the epoch since which the half owns it.
- * The record of a group is stored in the object API; its epoch increases by one
- * with every state change.
+ * The record of a group is stored in the object store; its epoch increases by
+ * one with every state change.
  */
 
-/** Ownership of one group as recorded in the object API. */
+/** Ownership of one group as recorded in the object store. */
 export interface Assignment {
   readonly group: string;
   /** Half whose requests the group runs, or the half that it is leaving. */
@@ -23,10 +23,10 @@
   | { readonly kind: "leaving" }
   /** The sender's half does not own the group yet. */
   | { readonly kind: "not_yet_owned" }
-  /** The sender's half never had this epoch, or the sender's view is stale. */
+  /** The half does not own the group at this epoch, so the view is stale. */
   | { readonly kind: "wrong_epoch" };
 
-/** Ownership of a group as the sender of work assumes it. */
+/** Ownership of a group in the view of the sender of work. */
 export interface OwnershipView {
   readonly half: string;
   readonly epoch: number;
--- a/packages/coordination/src/bundle.ts
+++ b/packages/coordination/src/bundle.ts
@@ -1,6 +1,7 @@
 /**
- * Bundles of control duties. A duty is identified by a key, for example the
- * name of the group that it controls. A fixed number of bundles keeps the
+ * Bundles of control duties, which are tasks that one node at a time performs.
+ * A duty is identified by a key, for example the name of the group that it
+ * controls. Each bundle has one lease. A fixed number of bundles keeps the
  * number of leases independent of the number of duties and nodes.
  */
 import murmurhash from "murmurhash";
@@ -12,9 +13,9 @@
 }
 
 /**
- * Returns the index of `id` among the candidates for a lease, in rendezvous
- * order. A node that is missing from the members, for example because their
- * list lags, is treated as a member.
+ * Returns the index of node `id` among the candidates for a lease, in
+ * rendezvous order. If the members do not contain the node, for example because
+ * their list is delayed, the node is treated as a member.
  */
 export function computeCandidateIndex(
   members: readonly rendezvous.Member[],
--- a/packages/coordination/src/claim_committer.ts
+++ b/packages/coordination/src/claim_committer.ts
@@ -27,8 +27,8 @@
   /** @default 200 */
   readonly maxWriteIntervalMs?: number;
   /**
-   * Longest time that an outcome is held back to share a write with a claim, in
-   * milliseconds.
+   * Maximum time that a settle operation waits to share a write with a claim,
+   * in milliseconds.
    * @default 2000
    */
   readonly settleLingerMs?: number;
@@ -87,14 +87,17 @@
 interface PendingOperation {
   readonly operationId: number;
   readonly operation: claims.ClaimOperation;
-  /** Time from which the linger time counts; in the future after a failure. */
+  /** Start of the linger time; in the future after a failed commit. */
   readonly lingerStartMs: number;
 }
 
 /** One group commit in flight. */
 interface Commit {
   readonly batch: readonly PendingOperation[];
-  /** Whether the shard was read since the batch was formed. */
+  /**
+   * Whether the shard was read since the batch was formed. A commit without a
+   * write requires it, because the cached shard may be outdated.
+   */
   isConfirmed: boolean;
   conflicts: number;
   /** Number of writes whose answer was lost. */
@@ -106,12 +109,13 @@
 const defaultWriteIntervalMs = 50;
 const defaultMaxWriteIntervalMs = 200;
 const defaultSettleLingerMs = 2_000;
-/** Multiplies the write interval after a write without a conflict. */
+/** Multiplies the write interval after a commit without a conflict. */
 const intervalDecayFactor = 0.9;
 const maxConflicts = 8;
 const maxUnknownOutcomes = 2;
-const maxRetainedOutcomes = 1_000;
-const unavailableRetryMs = 1_000;
+/** Maximum number of settle operations that a failed commit keeps. */
+const maxRetainedSettles = 1_000;
+const unavailableRetryDelayMs = 1_000;
 
 /** Creates the committer of one shard. */
 export function createCommitter(options: CommitterOptions): Committer {
@@ -123,7 +127,7 @@
   let pending: PendingOperation[] = [];
   let inFlight: Commit | undefined;
   let cached: VersionedShard | undefined;
-  let notBeforeMs = 0;
+  let earliestStartMs = 0;
   let writeIntervalMs = minIntervalMs;
   let timerAtMs = Infinity;
 
@@ -133,7 +137,7 @@
     );
     const lingerStartMs = pending[0]?.lingerStartMs ?? Infinity;
     const dueMs = isUrgent ? 0 : lingerStartMs + settleLingerMs;
-    return Math.max(dueMs, notBeforeMs);
+    return Math.max(dueMs, earliestStartMs);
   }
 
   function startIfDue(): CommitterEffect[] {
@@ -186,7 +190,7 @@
     return [...answers, ...startIfDue()];
   }
 
-  /** Answers claims at once and keeps outcomes for a retry after a delay. */
+  /** Answers claims at once and keeps settle operations for a delayed retry. */
   function fail(commit: Commit, message: string): CommitterEffect[] {
     inFlight = undefined;
     cached = undefined;
@@ -199,11 +203,11 @@
         operationId,
         result: { kind: "unavailable" as const, message },
       }));
-    const lingerStartMs = options.clock.now() + unavailableRetryMs;
+    const lingerStartMs = options.clock.now() + unavailableRetryDelayMs;
     const settleOperations = commit.batch.filter(isSettle)
       .map((item) => ({ ...item, lingerStartMs }));
-    const droppedOperations = settleOperations.slice(0, -maxRetainedOutcomes);
-    pending = [...settleOperations.slice(-maxRetainedOutcomes), ...pending];
+    const droppedOperations = settleOperations.slice(0, -maxRetainedSettles);
+    pending = [...settleOperations.slice(-maxRetainedSettles), ...pending];
     const droppedAnswers = droppedOperations.map(({ operationId }) => ({
       kind: "answer" as const,
       operationId,
@@ -220,9 +224,9 @@
     >["outcome"],
   ): CommitterEffect[] {
     const { applied } = commit;
-    // The jitter keeps entries with conflicting writes from staying in step.
+    // Without jitter, entries with conflicting writes would retry in lockstep.
     const jitterMs = Math.floor(writeIntervalMs * options.random() / 2);
-    notBeforeMs = options.clock.now() + writeIntervalMs + jitterMs;
+    earliestStartMs = options.clock.now() + writeIntervalMs + jitterMs;
     switch (outcome.kind) {
       case "accepted":
         if (applied === undefined) return [];
--- a/packages/coordination/src/claim_shard.ts
+++ b/packages/coordination/src/claim_shard.ts
@@ -1,7 +1,7 @@
 /** The stored value of one claim shard and the operations on it. */
 import type * as claims from "./claims.ts";
 
-/** Value of a shard in the object API; claims in order of last change. */
+/** Value of a shard in the object store; claims in order of last change. */
 export interface ClaimShard {
   readonly claims: readonly claims.Claim[];
 }
@@ -107,10 +107,10 @@
     if (
       existing?.attemptId === attemptId && existing.state.kind === "claimed"
     ) {
-      put({ ...existing, state: boundState(state), changedAtMs: nowMs });
+      put({ ...existing, state: limitAnswer(state), changedAtMs: nowMs });
     }
     if (existing === undefined && claim !== undefined) {
-      put({ ...claim, state: boundState(state), changedAtMs: nowMs });
+      put({ ...claim, state: limitAnswer(state), changedAtMs: nowMs });
     }
     return { kind: "settled" };
   }
@@ -136,7 +136,7 @@
   return { shard: { claims: [...byName.values()] }, results, isChanged };
 }
 
-/** Returns the size of a shard as the object API measures it, in bytes. */
+/** Returns the size of a shard as the object store measures it, in bytes. */
 export function measureShard(shard: ClaimShard): number {
   return shard.claims.reduce(
     (sum, claim) => sum + measureClaim(claim),
@@ -149,6 +149,7 @@
 function measureClaim(claim: claims.Claim): number {
   const cachedBytes = claimSizesBytes.get(claim);
   if (cachedBytes !== undefined) return cachedBytes;
+  // Adds one byte for the comma between claims.
   const bytes = new TextEncoder().encode(JSON.stringify(claim)).length + 1;
   claimSizesBytes.set(claim, bytes);
   return bytes;
@@ -158,7 +159,7 @@
  * Keeps only `recordedHeaders` of an answer, and omits the body and then all
  * headers if the answer exceeds the size limit.
  */
-function boundState(state: claims.ClaimState): claims.ClaimState {
+function limitAnswer(state: claims.ClaimState): claims.ClaimState {
   if (state.kind !== "finished") return state;
   const { status, headers, body } = state.answer;
   const recorded = headers.filter(([name]) =>
--- a/packages/coordination/src/claim_shard_test.ts
+++ b/packages/coordination/src/claim_shard_test.ts
@@ -40,41 +40,55 @@
 }
 
 const name = { workspace: "w", requestId: "r1" };
-const first = apply(claimShard.emptyShard, {
+const firstClaimed = apply(claimShard.emptyShard, {
   kind: "claim",
   claim: createClaim(),
 });
 
 test("the first claim of a name wins; its attempt may claim it again", () => {
-  expect(first.result).toEqual({ kind: "claimed" });
-  const again = apply(first.shard, { kind: "claim", claim: createClaim() });
-  expect(again).toMatchObject({ result: first.result, isChanged: false });
+  expect(firstClaimed.result).toEqual({ kind: "claimed" });
+  const again = apply(firstClaimed.shard, {
+    kind: "claim",
+    claim: createClaim(),
+  });
+  expect(again).toMatchObject({
+    result: firstClaimed.result,
+    isChanged: false,
+  });
   const claim = createClaim({ attemptId: "a2" });
-  const other = apply(first.shard, { kind: "claim", claim });
+  const other = apply(firstClaimed.shard, { kind: "claim", claim });
   expect(other.result).toMatchObject({
     kind: "exists",
     claim: { attemptId: "a1" },
   });
 });
 
-test("a claim is replaced only by a writer that names its attempt as never run", () => {
+test("a claim is replaced only if the writer names its attempt as never run", () => {
   const claim = createClaim({ attemptId: "a3" });
-  const wrong = apply(first.shard, { kind: "claim", claim, replaces: "a2" });
-  expect(wrong.result).toMatchObject({ kind: "exists" });
-  const right = apply(first.shard, { kind: "claim", claim, replaces: "a1" });
-  expect(right.result).toEqual({ kind: "claimed" });
-  const late = apply(right.shard, {
+  const refused = apply(firstClaimed.shard, {
+    kind: "claim",
+    claim,
+    replaces: "a2",
+  });
+  expect(refused.result).toMatchObject({ kind: "exists" });
+  const replaced = apply(firstClaimed.shard, {
+    kind: "claim",
+    claim,
+    replaces: "a1",
+  });
+  expect(replaced.result).toEqual({ kind: "claimed" });
+  const outdated = apply(replaced.shard, {
     kind: "settle",
     name,
     attemptId: "a1",
     state: { kind: "not_run" },
   });
-  expect(late.isChanged).toBe(false);
+  expect(outdated.isChanged).toBe(false);
 });
 
 test("a finished claim is never replaced, and a different body is refused", () => {
   const answer = { status: 201, headers: [], body: "" };
-  const finished = apply(first.shard, {
+  const finished = apply(firstClaimed.shard, {
     kind: "settle",
     name,
     attemptId: "a1",
@@ -94,7 +108,7 @@
 });
 
 test("settled claims expire after their retention, open claims are kept longer", () => {
-  const settled = apply(first.shard, {
+  const settled = apply(firstClaimed.shard, {
     kind: "settle",
     name,
     attemptId: "a1",
@@ -105,7 +119,7 @@
     kind: "exists",
   });
   expect(apply(settled.shard, find, 1_000).result).toEqual({ kind: "missing" });
-  expect(apply(first.shard, find, 9_999).result).toMatchObject({
+  expect(apply(firstClaimed.shard, find, 9_999).result).toMatchObject({
     kind: "exists",
   });
 });
--- a/packages/coordination/src/claims.ts
+++ b/packages/coordination/src/claims.ts
@@ -1,9 +1,9 @@
 /**
- * Claims of calls that must not run twice. A claim is stored durably before the
- * call is dispatched and names the only attempt (dispatch to one upstream) that
- * may run. Claims are stored in shards: a fixed number of values in the object
- * API. Every write of a shard is conditional on its version, so that any entry
- * may write any shard.
+ * Claims of calls (requests from callers) that must not run twice. A claim is
+ * stored durably before the call is dispatched and names the only attempt
+ * (dispatch to one upstream) that may run. Claims are stored in shards: a fixed
+ * number of values in the object store. Every write of a shard is conditional
+ * on its version, so that any entry may write any shard.
  */
 import murmurhash from "murmurhash";
 
@@ -69,8 +69,9 @@
     readonly attemptId: string;
     readonly state: Exclude<ClaimState, { readonly kind: "claimed" }>;
     /**
-     * Stored with the state if the shard has no claim of this name. Set after
-     * an ambiguous write of the claim, which the write of the state fences.
+     * Stored with the state if the shard has no claim of this name. Set if the
+     * outcome of writing the claim is unknown: storing the state raises the
+     * version of the shard and thereby fences that write.
      */
     readonly claim?: NewClaim;
   }
@@ -79,15 +80,17 @@
 export type ClaimResult =
   /** The claim is durable; its attempt may be dispatched once. */
   | { readonly kind: "claimed" }
-  /** The call has a claim that was not replaced, or that `find` looked up. */
+  /** A claim of the call is stored: `find` found it or `claim` kept it. */
   | { readonly kind: "exists"; readonly claim: Claim }
-  /** The name was used for a call with a different body. */
+  /** The name was used for a call with a different digest. */
   | { readonly kind: "other_body" }
   /** The shard has no room until the retention of older claims ends. */
   | { readonly kind: "full" }
   /** Nothing may be dispatched; a delayed write may still store the claim. */
   | { readonly kind: "unavailable"; readonly message: string }
+  /** The state is stored, or it does not apply to the claim in the shard. */
   | { readonly kind: "settled" }
+  /** The call has no claim. */
   | { readonly kind: "missing" };
 
 /** Number of shards per half. */
--- a/packages/coordination/src/conditional_write.ts
+++ b/packages/coordination/src/conditional_write.ts
@@ -12,12 +12,12 @@
 /** Final outcome of a conditional write. */
 export type SettledOutcome =
   | { readonly kind: "accepted"; readonly version: number }
-  /** Not written, and never will be. */
+  /** The value was not written and never will be. */
   | {
     readonly kind: "conflict";
     readonly current?: versionedStore.StoredObject;
   }
-  /** Not written; the store was unreachable or refused the call. */
+  /** The value was not written: the store was unreachable or refused it. */
   | versionedStore.Unavailable
   /** The write may have taken effect; check later by the change id. */
   | { readonly kind: "unknown"; readonly message: string };
@@ -42,7 +42,7 @@
 export interface ConditionalWriteOptions {
   /** Version that the key must have. */
   readonly ifVersion: number;
-  /** Returns whether a stored value is the written value or a successor. */
+  /** Returns whether a value is the written value or was derived from it. */
   readonly isOwn: (value: unknown) => boolean;
   /**
    * Number of failed reads after which the outcome is reported as unknown.
--- a/packages/coordination/src/conditional_write_test.ts
+++ b/packages/coordination/src/conditional_write_test.ts
@@ -28,6 +28,7 @@
   async function advance(durationMs: number): Promise<void> {
     for (let passedMs = 0; passedMs < durationMs; passedMs += 1) {
       simulatedTime.advance(1);
+      // Runs the promise callbacks of a store answer.
       for (let tick = 0; tick < 4; tick += 1) await Promise.resolve();
     }
   }
@@ -41,14 +42,17 @@
   fc.record({ kind: fc.constant("late" as const), delayMs: fc.nat(1_500) }),
 );
 
-test("a reported outcome stays correct after all delayed writes", async () => {
+test("a reported outcome still holds after delayed writes take effect", async () => {
   const property = fc.asyncProperty(
     fc.array(fault, { maxLength: 6 }),
     fc.array(fault, { maxLength: 6 }),
-    async (first, second) => {
+    async (firstFaults, secondFaults) => {
       const harness = createHarness();
       harness.simulatedStore.addFaults(
-        ...first.flatMap((item, index) => [item, second[index] ?? item]),
+        ...firstFaults.flatMap((item, index) => [
+          item,
+          secondFaults[index] ?? item,
+        ]),
       );
       const pending = [harness.write("a", 0), harness.write("b", 0)];
       await harness.advance(4_000);
--- a/packages/coordination/src/fencing.ts
+++ b/packages/coordination/src/fencing.ts
@@ -138,6 +138,10 @@
   const queue: FencedOrder<Order>[] = [];
   let highestTerm: OrderTerm | undefined;
   let highestOrderId = "";
+  /**
+   * `unsettled`: an earlier order may still take effect; `new`: the gate has no
+   * floor; `ready`: orders may run.
+   */
   let stage: "unsettled" | "new" | "ready" = options.checksFencing
     ? "new"
     : "unsettled";
@@ -163,6 +167,7 @@
     }
   }
 
+  /** A repeat of the latest order is not fenced and runs again. */
   function isFenced({ id, term }: FencedOrder<Order>): boolean {
     if (highestTerm === undefined || id === highestOrderId) return false;
     return compareTerms(term, highestTerm) <= 0;
@@ -232,7 +237,7 @@
     requestEffect({ kind: "wait", delayMs: settleMs });
   }
 
-  /** Continues after the wait at start or for an order with an open outcome. */
+  /** Continues after the wait at the start or after an unknown outcome. */
   function handleSettled(): void {
     stage = highestTerm === undefined ? "new" : "ready";
     if (openOrder !== undefined) requestEffect({ kind: "read_state" });
--- a/packages/coordination/src/fencing_test.ts
+++ b/packages/coordination/src/fencing_test.ts
@@ -33,7 +33,7 @@
   checksFencing: boolean,
 ) {
   const inForce: fencing.OrderTerm[] = [];
-  let highest = 0;
+  let highestNumber = 0;
   return {
     inForce,
     execute(
@@ -41,12 +41,12 @@
       delayMs: number,
       onAnswer: (outcome: fencing.ExecutionOutcome) => void,
     ): void {
-      const number = fencing.computeEngineFencingNumber(term);
+      const engineNumber = fencing.computeEngineFencingNumber(term);
       clock.schedule(() => {
-        if (checksFencing && number < highest) {
+        if (checksFencing && engineNumber < highestNumber) {
           return onAnswer({ kind: "refused", message: "fenced" });
         }
-        highest = Math.max(highest, number);
+        highestNumber = Math.max(highestNumber, engineNumber);
         inForce.push(term);
         onAnswer({ kind: "done" });
       }, { delayMs });
@@ -278,7 +278,7 @@
       fc.assert(property, parameters);
     });
 
-    test("a late order of a dead holder is refused after an agent restart", () => {
+    test("a late order of a dead holder is fenced after an agent restart", () => {
       const harness = createHarness({
         checksFencing,
         createGate: createRealGate,
@@ -332,11 +332,14 @@
 test.each([
   ["has no floor", createGateWithoutFloor],
   ["does not wait after a restart", createGateWithoutWait],
-])("the property fails for a gate that %s", (_name, createGate) => {
-  expect(hasCounterexample({ checksFencing: false, createGate })).toBe(true);
-});
+])(
+  "orders of an earlier holder can run last if the gate %s",
+  (_name, createGate) => {
+    expect(hasCounterexample({ checksFencing: false, createGate })).toBe(true);
+  },
+);
 
-test("an engine number orders by epoch before fencing number", () => {
+test("engine fencing numbers order by epoch, then by lease fencing number", () => {
   const older = fencing.computeEngineFencingNumber({
     epoch: 2,
     fencingNumber: 900,
@@ -351,7 +354,7 @@
   ).toThrow("exceeds the range");
 });
 
-test("orders of an earlier epoch are refused whatever their number", () => {
+test("orders of an earlier epoch are fenced whatever their fencing number", () => {
   const gate = fencing.createGate<string, number>({ checksFencing: true });
   const send = (sequence: number, term: fencing.Floor) =>
     gate.handle({
--- a/packages/coordination/src/gossip.ts
+++ b/packages/coordination/src/gossip.ts
@@ -35,7 +35,7 @@
   | { readonly kind: "silent"; readonly send: GossipSend }
   /** This member starts a planned shutdown. */
   | { readonly kind: "leave" }
-  /** The weight of this member, its share of keys, has changed. */
+  /** The weight of this member (its relative share of keys) has changed. */
   | { readonly kind: "weighed"; readonly weight: number };
 
 /** A request to send; passed back with its reply or its timeout. */
@@ -58,6 +58,7 @@
     readonly kind: "apply";
     readonly objects: readonly settingsReplica.ReplicatedObject[];
   }
+  /** The replica is confirmed as up to date; emitted once. */
   | { readonly kind: "ready" }
   /** List all prefixes of the object store once, with retries on failure. */
   | Extract<
@@ -82,7 +83,10 @@
    * @default 5
    */
   readonly fanOut?: number;
-  /** @default 5000 */
+  /**
+   * Time after which a suspected member is removed, in milliseconds.
+   * @default 5000
+   */
   readonly suspicionMs?: number;
 }
 
@@ -104,7 +108,7 @@
 
 const defaultFanOut = 5;
 const maxProbeAttempts = 3;
-/** A longer gap between two ticks means that the process was paused. */
+/** Minimum gap between two ticks that shows that the process was paused. */
 const pauseThresholdMs = 1.5 * tickMs;
 /** Ticks between two probes of a removed member, which may have returned. */
 const removedProbeIntervalTicks = 5;
@@ -201,7 +205,7 @@
     }));
   }
 
-  /** Chooses a peer to confirm the view while the store is unavailable. */
+  /** Chooses a peer in a failure domain that has not confirmed the replica. */
   function chooseConfirmer(): membership.MemberRecord | undefined {
     const peers = members.listPeers().filter((peer) =>
       peer.state === "live" &&
@@ -223,7 +227,7 @@
     tickCount += 1;
     const effects = recordChanges(members.expire(nowMs));
     effects.push(...updateWatching());
-    // A watcher lists the store in any case.
+    // The first tick lists the store, which a watcher does in any case.
     if (tickCount === 1 && !isWatching) {
       effects.push({ kind: "list_store", isReadinessCheck: true });
     }
@@ -270,12 +274,12 @@
     effects.push(
       ...convertEffects(propagation.handle({ kind: "request", request })),
     );
-    const hasSameMembers = request.membersHash === undefined ||
+    const canOmitMembers = request.membersHash === undefined ||
       request.membersHash === members.hash();
     const reply: gossipMessage.GossipReply = {
       ...propagation.buildReply(request),
       from: members.getSelf(),
-      members: hasSameMembers ? [] : members.listBatch(limits.members),
+      members: canOmitMembers ? [] : members.listBatch(limits.members),
     };
     return [{ kind: "answer", reply }, ...effects];
   }
--- a/packages/coordination/src/gossip_message.ts
+++ b/packages/coordination/src/gossip_message.ts
@@ -21,14 +21,15 @@
 
 export interface GossipReply {
   readonly from: membership.MemberRecord;
-  /** Whether the sender has confirmed its own view. */
+  /** Whether the sender has confirmed its own replica. */
   readonly isReady: boolean;
   readonly members: readonly membership.MemberRecord[];
   readonly objects: readonly settingsReplica.ReplicatedObject[];
-  /** Ranges that differ; undefined if the replicas agree or no digest came. */
+  /** Ranges that differ; undefined if none do or the request had no digest. */
   readonly summaries?: settingsReplica.RangeSummaries;
-  /** Whether the replicas had equal content; false if not compared. */
+  /** Whether the replicas are equal; false if the request had no digest. */
   readonly isEqual: boolean;
+  /** Tombstones of the sender up to this version may have been dropped. */
   readonly floorVersion: number;
 }
 
--- a/packages/coordination/src/gossip_test.ts
+++ b/packages/coordination/src/gossip_test.ts
@@ -15,14 +15,17 @@
   };
 }
 
-/** Cluster with immediate delivery, except to and from members in `cutOff`. */
-function createCluster(placement: Readonly<Record<string, string>>) {
+/**
+ * Creates a cluster with immediate delivery, except to and from members in
+ * `cutOff`. `domainsById` maps the ids of the members to their failure domains.
+ */
+function createCluster(domainsById: Readonly<Record<string, string>>) {
   const cutOff = new Set<string>();
   const ready = new Set<string>();
   const watching = new Set<string>();
   const listing = new Set<string>();
   let nowMs = 0;
-  const peers = Object.entries(placement)
+  const peers = Object.entries(domainsById)
     .map(([id, domain]) => createPeer(id, domain));
   const members = new Map<string, gossip.GossipMember>();
   const queue: (() => void)[] = [];
@@ -85,10 +88,10 @@
   }
 
   function runAll(): void {
-    let step = queue.shift();
-    while (step !== undefined) {
-      step();
-      step = queue.shift();
+    let action = queue.shift();
+    while (action !== undefined) {
+      action();
+      action = queue.shift();
     }
   }
 
@@ -105,7 +108,7 @@
     members,
     start,
     listInstances,
-    event(id: string, event: gossip.GossipEvent) {
+    emit(id: string, event: gossip.GossipEvent) {
       deliver(id, event);
       runAll();
     },
@@ -138,26 +141,26 @@
   } as const;
 }
 
-const placement = { a: "d1", b: "d1", c: "d1", d: "d2", e: "d2", f: "d3" };
-const ids = Object.keys(placement);
+const failureDomains = { a: "d1", b: "d1", c: "d1", d: "d2", e: "d2", f: "d3" };
+const ids = Object.keys(failureDomains);
 
 test("two members of each failure domain watch the store", () => {
-  const cluster = createCluster(placement);
+  const cluster = createCluster(failureDomains);
   cluster.startAll();
   cluster.tick();
   const domains = [...cluster.watching].map((id) =>
-    placement[id as keyof typeof placement]
+    failureDomains[id as keyof typeof failureDomains]
   );
   expect(domains.sort()).toEqual(["d1", "d1", "d2", "d2", "d3"]);
 });
 
 test("a change that one watcher receives reaches all members", () => {
-  const cluster = createCluster(placement);
+  const cluster = createCluster(failureDomains);
   cluster.startAll();
-  cluster.event("a", listStore(1, []));
+  cluster.emit("a", listStore(1, []));
   const key = "settings/x";
   const object = { kind: "present", key, version: 2, value } as const;
-  cluster.event("a", { kind: "store_changed", objects: [object] });
+  cluster.emit("a", { kind: "store_changed", objects: [object] });
   cluster.tick(6);
   for (const id of ids) {
     expect(cluster.members.get(id)!.replica.get(key)?.version).toBe(2);
@@ -165,12 +168,13 @@
 });
 
 describe("a member that starts while the object store is unavailable", () => {
+  /** Lists the store on all but the unready members, then restarts member a. */
   function startWithRestart(unready: readonly string[] = []) {
-    const cluster = createCluster(placement);
+    const cluster = createCluster(failureDomains);
     cluster.startAll();
     for (const id of ids) {
       if (!unready.includes(id)) {
-        cluster.event(id, listStore(5, ["settings/x"]));
+        cluster.emit(id, listStore(5, ["settings/x"]));
       }
     }
     cluster.start("a");
@@ -178,37 +182,37 @@
     return cluster;
   }
 
-  test("is ready after peers in two failure domains confirm its view", () => {
+  test("is ready after peers in two failure domains confirm its replica", () => {
     const cluster = startWithRestart();
     cluster.tick(3);
     expect(cluster.ready.has("a")).toBe(false);
-    cluster.event("a", { kind: "store_away" });
+    cluster.emit("a", { kind: "store_away" });
     cluster.tick(4);
     expect(cluster.ready.has("a")).toBe(true);
     const { replica } = cluster.members.get("a")!;
     expect(replica.get("settings/x")?.version).toBe(5);
   });
 
-  test("is not ready after peers in only one failure domain confirm its view", () => {
+  test("is not ready after peers in only one failure domain confirm its replica", () => {
     const cluster = startWithRestart();
     for (const id of ["d", "e", "f"]) cluster.cutOff.add(id);
-    cluster.event("a", { kind: "store_away" });
+    cluster.emit("a", { kind: "store_away" });
     cluster.tick(20);
     expect(cluster.ready.has("a")).toBe(false);
-    cluster.event("a", listStore(6, ["settings/x"]));
+    cluster.emit("a", listStore(6, ["settings/x"]));
     expect(cluster.ready.has("a")).toBe(true);
   });
 
   test("is not ready if the confirming peers are not ready", () => {
     const cluster = startWithRestart(ids);
-    cluster.event("a", { kind: "store_away" });
+    cluster.emit("a", { kind: "store_away" });
     cluster.tick(20);
     expect(cluster.ready.has("a")).toBe(false);
   });
 });
 
 test("all members remove an unreachable member and add it again on its return", () => {
-  const cluster = createCluster(placement);
+  const cluster = createCluster(failureDomains);
   cluster.startAll();
   cluster.tick(3);
   cluster.cutOff.add("f");
@@ -229,14 +233,15 @@
 test("a member lists the store if peers have dropped tombstones that it missed", () => {
   const cluster = createCluster({ a: "d1", b: "d2" });
   cluster.startAll();
-  for (const id of ["a", "b"]) cluster.event(id, listStore(5, []));
+  for (const id of ["a", "b"]) cluster.emit(id, listStore(5, []));
   cluster.cutOff.add("a");
+  // More removals than the 4096 tombstones that a replica keeps by default.
   const removals = Array.from({ length: 5_000 }, (_, index) => ({
     kind: "removed",
     key: `settings/${index}`,
     version: 10 + index,
   } as const));
-  cluster.event("b", { kind: "store_changed", objects: removals });
+  cluster.emit("b", { kind: "store_changed", objects: removals });
   cluster.cutOff.clear();
   expect(cluster.listing.has("a")).toBe(false);
   cluster.tick(1);
--- a/packages/coordination/src/handover.ts
+++ b/packages/coordination/src/handover.ts
@@ -4,11 +4,11 @@
  *     serving(A, e) -> leaving(A to B, e+1) -> serving(B, e+2)
  *                                         \-> serving(A, e+2), when cancelled
  *
- * Each step is one conditional write of the group's record, so that only one of
- * several concurrent writers wins. No rank admits B before e+2, and e+2 is
- * written only after each rank has reported that it has received e+1 and that
- * nothing admitted under an earlier epoch is still running. A rank that does
- * not report keeps the move pending.
+ * A and B are the halves, e is an epoch. Each step is one conditional write of
+ * the group's record, so that only one of several concurrent writers wins. No
+ * rank admits work of B before e+2, and e+2 is written only after each rank has
+ * reported that it has received e+1 and that no work admitted under an earlier
+ * epoch is still running. A rank that does not report keeps the move pending.
  *
  * Several nodes may assume that they are in charge of the last step. This is
  * harmless: a report for e+1 stays valid until the record changes, and the
@@ -83,7 +83,7 @@
   return { kind: "conflict", message };
 }
 
-/** Report of a rank that no work of an older epoch is still running. */
+/** Report of a rank that no work of an earlier epoch is still running. */
 export interface DrainedReport {
   readonly rank: number;
   /** Epoch of the latest `leaving` record at the agent of the rank. */
@@ -164,6 +164,7 @@
     return ranks.filter((rank) => !drainedRanks.has(rank));
   }
 
+  /** Writes the last step of the move if all ranks have reported. */
   function complete(): readonly HandoverEffect[] {
     const record = latest?.record;
     if (latest === undefined || record?.state !== "leaving") return [];
--- a/packages/coordination/src/handover_test.ts
+++ b/packages/coordination/src/handover_test.ts
@@ -116,7 +116,7 @@
   running: number[];
 }
 
-const step = fc.oneof(
+const stepArbitrary = fc.oneof(
   fc.record({ kind: fc.constant("propagate"), rank: fc.nat(1) }),
   fc.record({ kind: fc.constant("send"), rank: fc.nat(1), lag: fc.nat(3) }),
   fc.record({ kind: fc.constant("finish"), rank: fc.nat(1) }),
@@ -128,8 +128,8 @@
 
 /**
  * Runs the steps on a model of two ranks, an operator of each half and a node
- * in charge that may be replaced; entries send work under old records. Returns
- * the violated invariant, or undefined.
+ * in charge that may be replaced. Entries send work under the record that is
+ * `lag` changes old. Returns the violated invariant, or undefined.
  */
 function runModel(
   steps: readonly { kind: string; rank?: number; lag?: number }[],
@@ -206,11 +206,11 @@
 }
 
 const parameters = { seed: 17, numRuns: 3_000 };
-const runs = fc.array(step, { minLength: 10, maxLength: 120 });
+const stepLists = fc.array(stepArbitrary, { minLength: 10, maxLength: 120 });
 
 test("a group never runs work of two halves at a time", () => {
   const isDrained = (rank: Rank) => rank.running.length === 0;
-  const property = fc.property(runs, (steps) => {
+  const property = fc.property(stepLists, (steps) => {
     expect(runModel(steps, isDrained)).toBeUndefined();
   });
   fc.assert(property, parameters);
@@ -218,7 +218,7 @@
 
 test("the model check fails if ranks report before they are drained", () => {
   const property = fc.property(
-    runs,
+    stepLists,
     (steps) => runModel(steps, () => true) === undefined,
   );
   expect(fc.check(property, parameters).failed).toBe(true);
--- a/packages/coordination/src/lease.ts
+++ b/packages/coordination/src/lease.ts
@@ -38,14 +38,20 @@
   readonly getCandidateIndex: () => number;
   /** @default 4000 */
   readonly durationMs?: number;
-  /** @default 500 */
+  /**
+   * Time before the expiry at which the holder stops, in milliseconds.
+   * @default 500
+   */
   readonly marginMs?: number;
   /**
    * Interval between renewals, shortened by a random jitter of up to a quarter.
    * @default 1200
    */
   readonly renewIntervalMs?: number;
-  /** @default 1000 */
+  /**
+   * Interval between two reads of candidate 0 or 1, in milliseconds.
+   * @default 1000
+   */
   readonly pollIntervalMs?: number;
 }
 
@@ -104,7 +110,7 @@
 const defaultMarginMs = 500;
 const defaultRenewIntervalMs = 1_200;
 const defaultPollIntervalMs = 1_000;
-const renewJitter = 0.25;
+const maxRenewJitterShare = 0.25;
 const retryDelayMs = 200;
 /** Candidates after this index never poll, which bounds the total reads. */
 const maxPollingIndex = 8;
@@ -185,8 +191,8 @@
     }
     held = { fencingNumber, validUntilMs };
     setTimer("expire", validUntilMs - options.clock.now());
-    const jitter = 1 - renewJitter * options.random();
-    setTimer("act", renewIntervalMs * jitter);
+    const jitterFactor = 1 - maxRenewJitterShare * options.random();
+    setTimer("act", renewIntervalMs * jitterFactor);
   }
 
   function computePollDelay(): number {
@@ -199,7 +205,7 @@
   function computeTakeoverMs(observed: ObservedVersion): number {
     const { record, sinceMs } = observed;
     const isFree = record === undefined || record.released;
-    // Staggers the candidates, so that the first one acquires a free lease.
+    // Staggers the candidates, so that the first candidate gets a free lease.
     const staggerMs = Math.min(options.getCandidateIndex(), 2) *
       pollIntervalMs / 2;
     return sinceMs + (isFree ? staggerMs : durationMs);
@@ -215,12 +221,12 @@
     if (isInFlight) return;
     if (held !== undefined) return send(held.fencingNumber, false);
     const nowMs = options.clock.now();
-    const delayMs = computePollDelay();
+    const pollDelayMs = computePollDelay();
     const takeoverMs = lastSeen === undefined || options.getCandidateIndex() > 1
       ? Infinity
       : computeTakeoverMs(lastSeen);
-    const isDue = delayMs !== Infinity &&
-      (nowMs - lastReadAtMs >= delayMs || nowMs >= takeoverMs);
+    const isDue = pollDelayMs !== Infinity &&
+      (nowMs - lastReadAtMs >= pollDelayMs || nowMs >= takeoverMs);
     if (isDue) return readObject();
     schedulePoll(takeoverMs);
   }
@@ -237,6 +243,7 @@
     decide();
   }
 
+  /** Renews or acquires the lease, or schedules the next poll. */
   function decide(): void {
     if (held !== undefined) return send(held.fencingNumber, false);
     if (lastSeen === undefined) return;
--- a/packages/coordination/src/lease_record.ts
+++ b/packages/coordination/src/lease_record.ts
@@ -2,7 +2,7 @@
 
 /** Value of a lease object. */
 export interface LeaseRecord {
-  /** Id of the holder, new at each start of its process; "" without holder. */
+  /** Id of the holder, new at each start of its process; "" if none. */
   readonly holder: string;
   /** Address at which the holder can be reached. */
   readonly address: string;
--- a/packages/coordination/src/lease_test.ts
+++ b/packages/coordination/src/lease_test.ts
@@ -46,7 +46,7 @@
   expect(started).toHaveLength(1);
 });
 
-test("a dead holder's lease is taken over with a higher fencing number", () => {
+test("a dead holder's lease is taken over after its duration, with a higher fencing number", () => {
   const { clock, nodes, started, listHolders } = createHarness(3);
   clock.advance(10_000);
   nodes[0]?.kill();
@@ -76,7 +76,7 @@
   expect(listHolders()).toEqual([1]);
 });
 
-test("a holder keeps its lease and number when store answers are lost", () => {
+test("a holder keeps its lease and fencing number when store answers are lost", () => {
   const { clock, store, started, listHolders } = createHarness(2);
   clock.advance(10_000);
   for (let round = 0; round < 10; round += 1) {
@@ -87,7 +87,7 @@
   expect(started).toHaveLength(1);
 });
 
-test("a holder cut off from the store stops before another may start", () => {
+test("a holder cut off from the store stops before another node acquires the lease", () => {
   const { clock, store, listHolders, started } = createHarness(2);
   clock.advance(10_000);
   store.setDown(true);
@@ -118,7 +118,7 @@
   }
 });
 
-test("the total reads are bounded whatever the number of candidates", () => {
+test("the reads and writes of a lease are bounded whatever the number of candidates", () => {
   const { clock, store } = createHarness(100);
   clock.advance(10_000);
   const before = store.countCalls();
@@ -145,7 +145,7 @@
   }),
 );
 
-test("at most one node holds the lease, and each start has a higher number", () => {
+test("at most one node holds the lease, and each acquisition raises the fencing number", () => {
   fc.assert(
     fc.property(
       fc.array(stepArbitrary, { maxLength: 60 }),
--- a/packages/coordination/src/membership.ts
+++ b/packages/coordination/src/membership.ts
@@ -42,7 +42,10 @@
    */
   readonly incarnation: number;
   readonly random: random.RandomSource;
-  /** @default 5000 */
+  /**
+   * Time after which a suspected member is removed, in milliseconds.
+   * @default 5000
+   */
   readonly suspicionMs?: number;
 }
 
@@ -65,7 +68,10 @@
   ): readonly MemberRecord[];
   /** Marks a member suspect after all attempts of a probe timed out. */
   suspect(id: string, nowMs: number): readonly MemberRecord[];
-  /** Removes members whose suspicion expired; returns the changed records. */
+  /**
+   * Removes members whose suspicion expired, and drops records of removed
+   * members after their retention; returns the changed records.
+   */
   expire(nowMs: number): readonly MemberRecord[];
   /** Extends all deadlines, because this node itself was paused. */
   extendDeadlines(durationMs: number): void;
@@ -75,7 +81,7 @@
   pickProbeTarget(): MemberRecord | undefined;
   /** Returns a removed member that is still in the instance list. */
   pickRemovedTarget(): MemberRecord | undefined;
-  /** Hash of all members that are not removed. */
+  /** Hash of the records of all members that are not removed. */
   hash(): number;
   /** Returns up to `limit` records: latest changes, then others round-robin. */
   listBatch(limit: number): readonly MemberRecord[];
@@ -147,13 +153,13 @@
     return [self];
   }
 
-  /** Refutes another node's record of this node by raising the incarnation. */
+  /** Raises the incarnation to refute another node's record of this node. */
   function raiseOwnIncarnation(record: MemberRecord): readonly MemberRecord[] {
     const isOutdated = record.incarnation < self.incarnation;
-    const isOwn = record.incarnation === self.incarnation &&
+    const isOwnRecord = record.incarnation === self.incarnation &&
       stateOrder[record.state] <= stateOrder[self.state] &&
       record.state !== "suspect";
-    if (isOutdated || isOwn) return [];
+    if (isOutdated || isOwnRecord) return [];
     return putSelf({ incarnation: record.incarnation + 1 });
   }
 
@@ -243,7 +249,7 @@
     setWeight: (weight) =>
       putSelf({ weight, incarnation: self.incarnation + 1 }),
     pickProbeTarget() {
-      for (let attempt = 0; attempt < 2; attempt += 1) {
+      for (let round = 0; round < 2; round += 1) {
         while (probeOrder.length > 0) {
           const record = records.get(probeOrder.pop()!);
           if (record !== undefined && isPeer(record)) return record;
--- a/packages/coordination/src/membership_test.ts
+++ b/packages/coordination/src/membership_test.ts
@@ -51,7 +51,7 @@
   expect(members.apply(suspicion, 4_000)).toEqual([]);
 });
 
-test("a restarted member with a low incarnation exceeds the earlier one", () => {
+test("a restarted member with a low incarnation raises it above the earlier one", () => {
   const members = createMembership();
   members.apply([createRecord("self", 50, "removed")], 0);
   expect(members.getSelf()).toMatchObject({ incarnation: 51, state: "live" });
@@ -86,7 +86,7 @@
   expect(members.expire(9_000)).toHaveLength(1);
 });
 
-test("batches are limited in size and cover every member in turn", () => {
+test("batches are limited in size, and successive batches cover every member", () => {
   const members = createMembership();
   const records = Array.from(
     { length: 40 },
--- a/packages/coordination/src/mod.ts
+++ b/packages/coordination/src/mod.ts
@@ -1,7 +1,7 @@
 /**
  * Coordination building blocks for clusters that keep their durable state in
- * one object API (the object store): deterministic state machines that open no
- * socket and get their clock and random source passed in.
+ * one object store: deterministic state machines that open no socket and get
+ * their clock and random source passed in.
  */
 export * as admission from "./admission.ts";
 export * as ambiguousWrite from "./ambiguous_write.ts";
--- a/packages/coordination/src/roster.ts
+++ b/packages/coordination/src/roster.ts
@@ -37,7 +37,7 @@
     /** Echoed by the hub together with its status. */
     readonly token: number;
   }
-  /** The members that are alive in the view of the sender, without itself. */
+  /** The members that are live in the view of the sender, without itself. */
   | {
     readonly kind: "roster";
     readonly from: MemberInfo<Details>;
@@ -73,7 +73,7 @@
   /** Initial addresses; may contain the own address. */
   readonly seeds: readonly string[];
   /**
-   * Time without a message after which a member counts as gone, in
+   * Time without a message after which a member is no longer live, in
    * milliseconds.
    * @default 800
    */
@@ -94,7 +94,7 @@
   setDetails(details: Details): readonly RosterSend<Details, HubStatus>[];
   /** Adds addresses of possible members. */
   addSeeds(addresses: readonly string[]): void;
-  /** Members that count as alive, including this member. */
+  /** Members that are live, including this member. */
   listLive(): readonly MemberInfo<Details>[];
   /** The live member with the earliest start. */
   getHub(): MemberInfo<Details>;
@@ -110,7 +110,8 @@
 /** Ticks between two hellos to a seed, which may report an older hub. */
 const seedIntervalTicks = 5;
 
-interface KnownMember<Details> {
+/** A member other than the roster's own, as this roster has recorded it. */
+interface OtherMember<Details> {
   readonly info: MemberInfo<Details>;
   readonly lastSeenAtMs: number;
   /** Hash in its last hello; undefined before its first hello. */
@@ -118,6 +119,7 @@
   readonly token?: number;
 }
 
+/** Compares members by start time, the earliest first, then by id. */
 function compareAge<Details>(
   a: MemberInfo<Details>,
   b: MemberInfo<Details>,
@@ -141,7 +143,7 @@
   type Sends = readonly RosterSend<Details, HubStatus>[];
   const { clock } = options;
   const memberTimeoutMs = options.memberTimeoutMs ?? defaultMemberTimeoutMs;
-  const knownMembers = new Map<string, KnownMember<Details>>();
+  const otherMembers = new Map<string, OtherMember<Details>>();
   const seeds = new Set(options.seeds);
   let self: MemberInfo<Details> = { ...options.self, revision: 1 };
   /** Send times of the latest hellos, by token. */
@@ -150,9 +152,9 @@
   let tickCount = 0;
   let seedIndex = 0;
 
-  function listLiveOthers(): readonly KnownMember<Details>[] {
+  function listLiveOthers(): readonly OtherMember<Details>[] {
     const oldestMs = clock.now() - memberTimeoutMs;
-    return [...knownMembers.values()].filter(({ lastSeenAtMs }) =>
+    return [...otherMembers.values()].filter(({ lastSeenAtMs }) =>
       lastSeenAtMs >= oldestMs
     );
   }
@@ -168,17 +170,17 @@
   function recordMember(
     info: MemberInfo<Details>,
     heardAgoMs: number,
-    hello: Pick<KnownMember<Details>, "hash" | "token"> = {},
+    hello: Pick<OtherMember<Details>, "hash" | "token"> = {},
   ): void {
     if (info.id === self.id) return;
     const lastSeenAtMs = clock.now() - heardAgoMs;
-    const previous = knownMembers.get(info.id);
+    const previous = otherMembers.get(info.id);
     const isOlder = previous !== undefined &&
       compareVersions(previous.info, info) > 0;
     if (isOlder) return;
     const isUnchanged = previous !== undefined &&
       compareVersions(previous.info, info) === 0;
-    knownMembers.set(info.id, {
+    otherMembers.set(info.id, {
       ...(previous?.info.incarnation === info.incarnation ? previous : {}),
       ...hello,
       info,
@@ -205,7 +207,7 @@
   }
 
   function createRosterMessage(
-    receiver: KnownMember<Details> | undefined,
+    receiver: OtherMember<Details> | undefined,
   ): Message {
     const nowMs = clock.now();
     const hasSameMembers = receiver?.hash === computeHash();
@@ -250,25 +252,32 @@
   }
 
   function handleHello(
-    { from, hash, token: echoed }: Extract<Message, { readonly kind: "hello" }>,
+    { from, hash, token: newToken }: Extract<
+      Message,
+      { readonly kind: "hello" }
+    >,
   ): Sends {
-    const previous = knownMembers.get(from.id)?.info;
+    const previous = otherMembers.get(from.id)?.info;
     const isNewer = previous === undefined ||
       compareVersions(previous, from) < 0;
-    recordMember(from, 0, { hash, token: echoed });
+    recordMember(from, 0, { hash, token: newToken });
     if (getHub().id === self.id) return isNewer ? sendRoster() : [];
     // This member is not the hub; the roster shows the sender which member is.
-    const message = createRosterMessage(knownMembers.get(from.id));
+    const message = createRosterMessage(otherMembers.get(from.id));
     return [{ to: from.address, message }];
   }
 
-  /** Renews all members after a roster that confirmed them by their hash. */
+  /**
+   * Renews all live members after a roster that confirmed them by their hash.
+   * Such a roster has no last-seen times: the members are assumed to have been
+   * seen half a timeout ago.
+   */
   function renewMembers(): void {
     const assumedSeenAtMs = clock.now() - memberTimeoutMs / 2;
-    for (const [id, member] of knownMembers) {
+    for (const [id, member] of otherMembers) {
       if (clock.now() - member.lastSeenAtMs > memberTimeoutMs) continue;
       const latestMs = Math.max(member.lastSeenAtMs, assumedSeenAtMs);
-      knownMembers.set(id, { ...member, lastSeenAtMs: latestMs });
+      otherMembers.set(id, { ...member, lastSeenAtMs: latestMs });
     }
   }
 
--- a/packages/coordination/src/roster_test.ts
+++ b/packages/coordination/src/roster_test.ts
@@ -19,6 +19,7 @@
 interface RunOptions {
   readonly isDown?: (id: string) => boolean;
   readonly isCut?: (from: string, to: string) => boolean;
+  /** Probability that a message is lost. */
   readonly loss?: number;
 }
 
@@ -39,7 +40,7 @@
       }),
     };
   });
-  let messages = 0;
+  let messageCount = 0;
 
   function send(
     from: string,
@@ -50,7 +51,7 @@
       const isLost = run.isDown?.(to) || run.isCut?.(from, to) ||
         nextRandom() < (run.loss ?? 0);
       if (isLost) continue;
-      messages += 1;
+      messageCount += 1;
       const target = nodes.find(({ id }) => id === to);
       if (target === undefined) continue;
       send(to, target.roster.handle(message), run);
@@ -60,7 +61,7 @@
   return {
     nodes,
     clock: manualClock,
-    countMessages: () => messages,
+    countMessages: () => messageCount,
     run(durationMs, run = {}) {
       for (let ms = 0; ms < durationMs; ms += roster.tickMs) {
         manualClock.advance(roster.tickMs);
@@ -131,18 +132,18 @@
   const isLow = (id: string) => Number(id.slice(1)) < 4;
   const isCut = (from: string, to: string) => isLow(from) !== isLow(to);
   cluster.run(2_000, { isCut });
-  const hubs = (low: boolean) =>
+  const listSideHubs = (isLowSide: boolean) =>
     new Set(
-      cluster.nodes.filter(({ id }) => isLow(id) === low)
+      cluster.nodes.filter(({ id }) => isLow(id) === isLowSide)
         .map((node) => node.roster.getHub().id),
     );
-  expect(hubs(true)).toEqual(new Set(["n0"]));
-  expect(hubs(false)).toEqual(new Set(["n4"]));
+  expect(listSideHubs(true)).toEqual(new Set(["n0"]));
+  expect(listSideHubs(false)).toEqual(new Set(["n4"]));
   cluster.run(3_000);
   expect(listHubs(cluster)).toEqual(["n0"]);
 });
 
-test("the hub stays stable when a tenth of the messages is lost", () => {
+test("all members keep one hub when a tenth of the messages is lost", () => {
   const cluster = createCluster(21);
   cluster.run(2_000, { loss: 0.1 });
   for (let round = 0; round < 50; round += 1) {
@@ -152,12 +153,12 @@
 });
 
 test("one live seed is enough to find all members", () => {
-  const cluster = createCluster(6, { seeds: ["gone1", "gone2", "n5"] });
+  const cluster = createCluster(6, { seeds: ["absent1", "absent2", "n5"] });
   cluster.run(1_500);
   expect(listHubs(cluster)).toEqual(["n0"]);
 });
 
-test("a change of the details reaches all members at once", () => {
+test("a change of the details reaches all members before the next tick", () => {
   const cluster = createCluster(3, { seeds: ["n0"] });
   cluster.run(1_000);
   const leaving = cluster.nodes[2]!;
--- a/packages/coordination/src/settings_propagation.ts
+++ b/packages/coordination/src/settings_propagation.ts
@@ -2,8 +2,9 @@
  * Propagates versioned objects among the members of a cluster. Two members in
  * each failure domain watch the object store; new objects are pushed on with a
  * small fan-out, and once a second a digest is compared with one peer. A node
- * is ready only after it has confirmed its view against the store, or against
- * peers in two failure domains while the store is unavailable.
+ * is ready only after it has confirmed that its replica is up to date: against
+ * the store, or against peers in two failure domains while the store is
+ * unavailable.
  */
 import * as gossipMessage from "./gossip_message.ts";
 import type * as membership from "./membership.ts";
@@ -21,6 +22,7 @@
     readonly kind: "store_changed";
     readonly objects: readonly settingsReplica.ReplicatedObject[];
   }
+  /** The store is unavailable. */
   | { readonly kind: "store_away" }
   | { readonly kind: "request"; readonly request: gossipMessage.GossipRequest }
   | {
@@ -37,12 +39,15 @@
     readonly kind: "apply";
     readonly objects: readonly settingsReplica.ReplicatedObject[];
   }
-  /** The view is confirmed; emitted once. */
+  /** The replica is confirmed; emitted once. */
   | { readonly kind: "ready" }
   /** List all prefixes of the store once, with retries on failure. */
   | {
     readonly kind: "list_store";
-    /** Retries may stop as soon as peers have confirmed the view. */
+    /**
+     * Whether the listing only serves to confirm the replica. Its retries may
+     * then stop as soon as peers have confirmed the replica.
+     */
     readonly isReadinessCheck: boolean;
   }
   /** Send these to the member that sent the reply. */
@@ -59,7 +64,7 @@
 >;
 
 export interface SettingsPropagationOptions {
-  /** Prefixes to list from the store before the view counts as confirmed. */
+  /** Prefixes to list from the store before the replica is confirmed. */
   readonly prefixes: readonly string[];
   readonly limits?: gossipMessage.MessageLimits;
   readonly tombstoneLimit?: number;
@@ -74,9 +79,9 @@
   takePushBatch(): readonly settingsReplica.ReplicatedObject[];
   hasPendingPush(): boolean;
   isReady(): boolean;
-  /** Whether peers must confirm the view because the store is unavailable. */
+  /** Whether peers must confirm the replica: the store is unavailable. */
   needsPeerConfirmation(): boolean;
-  /** Whether a peer in this failure domain has confirmed the view. */
+  /** Whether a peer in this failure domain has confirmed the replica. */
   hasPeerConfirmation(failureDomain: string): boolean;
 }
 
@@ -84,8 +89,11 @@
 export const watchersPerDomain = 2;
 
 const requiredConfirmingDomains = 2;
-/** Objects of larger replies are not pushed on: the node is catching up. */
-const repairPushLimit = 16;
+/**
+ * Replies with more objects are not pushed on: they occur while this node is
+ * catching up.
+ */
+const maxRepairObjects = 16;
 
 /** Returns whether the member is a watcher of its failure domain. */
 export function isWatcher(
@@ -161,7 +169,7 @@
     reply: gossipMessage.GossipReply,
     isDigestReply: boolean,
   ): PropagationEffect[] {
-    const isRepair = reply.objects.length <= repairPushLimit;
+    const isRepair = reply.objects.length <= maxRepairObjects;
     const accepted = replica.merge(reply.objects);
     const effects = apply(accepted, isReady && isRepair);
     effects.push(...checkFloor(reply.floorVersion));
--- a/packages/coordination/src/settings_replica.ts
+++ b/packages/coordination/src/settings_replica.ts
@@ -1,8 +1,8 @@
 /**
  * Replica of versioned objects on one node. For each key only a higher version
  * is accepted, so an object never reverts, regardless of the message order.
- * Removals are kept as tombstones. A digest of fixed size shows two replicas
- * which ranges of the hashed keys differ.
+ * Removals are kept as tombstones. Two replicas compare digests of fixed size
+ * to find the ranges of hashed keys in which they differ.
  */
 import murmurhash from "murmurhash";
 
@@ -60,10 +60,10 @@
 
 export interface SettingsReplica {
   /**
-   * Accepts objects with a higher version than their key has here; returns the
-   * accepted objects. An object with an unknown key is rejected unless its
-   * version is above the floor, because the key may have been removed and its
-   * tombstone dropped.
+   * Accepts objects with a higher version than the stored object of their key;
+   * returns the accepted objects. An object with an unknown key is rejected
+   * unless its version is above `floorVersion`, because the key may have been
+   * removed and its tombstone dropped.
    */
   merge(objects: readonly ReplicatedObject[]): readonly ReplicatedObject[];
   /**
@@ -71,7 +71,7 @@
    * keys of this replica that the listing lacks become tombstones. Returns the
    * changed objects.
    */
-  mergeList(list: PrefixListing): readonly ReplicatedObject[];
+  mergeList(listing: PrefixListing): readonly ReplicatedObject[];
   get(key: string): ReplicatedObject | undefined;
   /** Objects without the tombstones. */
   list(): readonly ReplicatedObject[];
@@ -158,18 +158,18 @@
     }
   }
 
-  function isNewer(object: ReplicatedObject, minVersion: number): boolean {
+  function isNewer(object: ReplicatedObject, unknownKeyFloor: number): boolean {
     const existing = get(object.key);
-    return object.version > (existing?.version ?? minVersion);
+    return object.version > (existing?.version ?? unknownKeyFloor);
   }
 
   function acceptNewer(
     objects: readonly ReplicatedObject[],
-    minVersion: number,
+    unknownKeyFloor: number,
   ): readonly ReplicatedObject[] {
     const accepted: ReplicatedObject[] = [];
     for (const object of objects) {
-      if (!isNewer(object, minVersion)) continue;
+      if (!isNewer(object, unknownKeyFloor)) continue;
       put(object);
       accepted.push(object);
     }
@@ -177,14 +177,14 @@
     return accepted;
   }
 
-  function listAbsent(list: PrefixListing): readonly ReplicatedObject[] {
-    const listed = new Set(list.objects.map((object) => object.key));
+  function listAbsent(listing: PrefixListing): readonly ReplicatedObject[] {
+    const listed = new Set(listing.objects.map((object) => object.key));
     const absent: ReplicatedObject[] = [];
     for (const content of contents) {
       for (const { kind, key, version } of content.values()) {
-        if (kind === "removed" || version > list.version) continue;
-        if (!key.startsWith(list.prefix) || listed.has(key)) continue;
-        absent.push({ kind: "removed", key, version: list.version });
+        if (kind === "removed" || version > listing.version) continue;
+        if (!key.startsWith(listing.prefix) || listed.has(key)) continue;
+        absent.push({ kind: "removed", key, version: listing.version });
       }
     }
     return absent;
@@ -192,9 +192,9 @@
 
   return {
     merge: (objects) => acceptNewer(objects, floorVersion),
-    mergeList: (list) => [
-      ...acceptNewer(list.objects, 0),
-      ...acceptNewer(listAbsent(list), 0),
+    mergeList: (listing) => [
+      ...acceptNewer(listing.objects, 0),
+      ...acceptNewer(listAbsent(listing), 0),
     ],
     get,
     list: () =>
--- a/packages/coordination/src/settings_replica_test.ts
+++ b/packages/coordination/src/settings_replica_test.ts
@@ -62,6 +62,7 @@
       const left = settingsReplica.createSettingsReplica();
       const right = settingsReplica.createSettingsReplica();
       left.merge(mine);
+      // Versions are unique across the store, so the replicas share none.
       right.merge(theirs.map((object) => ({
         ...object,
         version: object.version + 100,
