--- a/packages/anvilhinge/src/entry/callers/answer_writer.ts
+++ b/packages/anvilhinge/src/entry/callers/answer_writer.ts
@@ -89,6 +89,7 @@
     };
   }
 
+  /** Opens a resumed answer; its head precedes the resume point. */
   function openResumed(): void {
     if (isOpen || resumePoint === undefined) return;
     context.status = 200;
@@ -109,6 +110,7 @@
         body.write(data);
         return;
       }
+      // Events of the frame that the caller has already received.
       const skip = resumePoint?.sequence === sequence
         ? resumePoint.index + 1
         : 0;
--- a/packages/anvilhinge/src/entry/callers/callers_http.ts
+++ b/packages/anvilhinge/src/entry/callers/callers_http.ts
@@ -166,6 +166,7 @@
     return { kind: "ok" };
   }
 
+  /** Adds the request id, error answers and the answer counter to a handler. */
   function wrapHandler(
     handler: (koa: Koa.Context) => HandlerResult | Promise<HandlerResult>,
   ): (koa: Koa.Context) => Promise<void> {
--- a/packages/anvilhinge/src/entry/callers/request_checks.ts
+++ b/packages/anvilhinge/src/entry/callers/request_checks.ts
@@ -24,6 +24,7 @@
 const requestIdPattern = /^[A-Za-z0-9._-]{8,128}$/;
 const maxDeadlineMs = 600_000;
 const tooLargeStatus = 413;
+/** Refusals with a lower status report an error in the request itself. */
 const tooManyRequestsStatus = 429;
 
 /** Refusal of a request with an error answer. */
@@ -97,6 +98,7 @@
 ): Promise<CheckResult<Buffer>> {
   const limit = entry.settings.requestBodyLimitBytes;
   try {
+    // Latin-1 maps each byte to one character, so that no byte is lost.
     const text = await coBody.text(koa.req, { limit, encoding: "latin1" });
     return { kind: "valid", value: Buffer.from(text, "latin1") };
   } catch (error) {
--- a/packages/anvilhinge/src/entry/callers/request_runner.ts
+++ b/packages/anvilhinge/src/entry/callers/request_runner.ts
@@ -95,12 +95,13 @@
     });
   }
 
-  /** Runs a request; resolves once its response is set, maybe before its end. */
+  /** Runs a request; resolves when the response is set or the session ends. */
   async function runRequest(
     koa: Koa.Context,
     request: session.Request,
     { need, resumePoint }: RunOptions,
   ): Promise<void> {
+    // A resumed request is not checked against the limits.
     const isAdmitted = resumePoint === undefined;
     if (isAdmitted) {
       const admitted = entry.policy.admit(request.workspace);
@@ -122,22 +123,25 @@
       })
     );
     entry.state.openRequests += 1;
-    const policy = entry.policy.startRequest(request, { need, isAdmitted });
+    const requestPolicy = entry.policy.startRequest(request, {
+      need,
+      isAdmitted,
+    });
     const sessionDone = runner.runSession({
       request,
       session: session.createSession(request, {
         clock: entry.scheduler,
         readWallMs: entry.readWallMs,
         createAttemptId: entry.createId,
-        chooseUpstream: policy.chooseUpstream,
-        takeRetry: () => takeRetry(policy),
+        chooseUpstream: requestPolicy.chooseUpstream,
+        takeRetry: () => takeRetry(requestPolicy),
         resumePoint: resumePoint === undefined ? undefined : {
           upstream: requestChecks.findUpstream(entry, resumePoint),
           attemptId: resumePoint.attemptId,
           fromSequence: resumePoint.sequence,
         },
       }),
-      client: policy.watchFrames(entry.client),
+      client: requestPolicy.watchFrames(entry.client),
       agents: { descriptions: entry.descriptions, claims: entry.claims },
       scheduler: entry.scheduler,
       sink: writer,
@@ -145,17 +149,17 @@
       headers: getTraceHeaders(span),
       onDispatch(upstream) {
         countAttempt();
-        policy.recordDispatch(upstream);
+        requestPolicy.recordDispatch(upstream);
         span.addEvent("dispatch", { upstream: upstream.id });
       },
-      onObserve: policy.recordOutcome,
+      onObserve: requestPolicy.recordOutcome,
       onDrop: () => countDrop(),
     });
     // A planned stop waits until the last byte has been sent to the caller, not
     // only until the last frame has arrived.
     void Promise.all([sessionDone, responseClosed]).then(() => {
       entry.state.openRequests -= 1;
-      policy.end();
+      requestPolicy.end();
       span.end();
     });
     await Promise.race([writer.ready, sessionDone]);
--- a/packages/anvilhinge/src/entry/callers/routed_answer.ts
+++ b/packages/anvilhinge/src/entry/callers/routed_answer.ts
@@ -15,7 +15,8 @@
 }
 
 const millisecondsPerSecond = 1_000;
-const retryAfterDigits = 3;
+/** Decimal places of `Retry-After`, which is in seconds. */
+const retryAfterDecimals = 3;
 
 /** Converts the final answer of a session into an error answer. */
 export function convertFinalAnswer(final: session.FinalAnswer): ErrorAnswer {
@@ -51,7 +52,7 @@
   };
   if (retryAfterMs !== undefined) {
     headers["Retry-After"] = (retryAfterMs / millisecondsPerSecond)
-      .toFixed(retryAfterDigits);
+      .toFixed(retryAfterDecimals);
   }
   response.writeHead(status, headers);
   response.end(body);
@@ -81,7 +82,10 @@
   readonly onPause: (pauseMs: number) => void;
 }
 
-/** Creates the writer of one answer; whole answers get a `Content-Length`. */
+/**
+ * Creates the writer of one answer. A whole answer with a body gets a
+ * `Content-Length` if it has none.
+ */
 export function createRoutedAnswerWriter(
   response: http.ServerResponse,
   { isWhole, clock, onPause }: RoutedAnswerWriterOptions,
--- a/packages/anvilhinge/src/entry/callers/routed_http.ts
+++ b/packages/anvilhinge/src/entry/callers/routed_http.ts
@@ -69,6 +69,7 @@
 const firstErrorStatus = 400;
 /** Time without data after which a stream is stalled; callers give up at 2 s. */
 const streamStallMs = 1_800;
+/** Minimum time without data after which a safe request is stalled. */
 const minSafeStallMs = 300;
 /** Multiple of the latency target after which a safe request is stalled. */
 const safeStallLatencyTargets = 3;
@@ -187,7 +188,7 @@
       if (!response.writableFinished) callerAbort.abort();
     });
     let handleDecision: routedPolicy.DecisionHandler = () => {};
-    const policy = options.policy.startRequest({
+    const requestPolicy = options.policy.startRequest({
       requestId,
       service,
       route,
@@ -199,9 +200,9 @@
     const sink = routedAnswer.createRoutedAnswerWriter(response, {
       isWhole: !isStream,
       clock: scheduler,
-      onPause: policy.recordPause,
+      onPause: requestPolicy.recordPause,
     });
-    let attempts = 0;
+    let attemptCount = 0;
     const settingsVersion = view.getTable()?.settings.version;
     state.openRequests += 1;
     const done = runner.runSession({
@@ -210,9 +211,9 @@
         gate: "none",
         clock: scheduler,
         readWallMs: Date.now,
-        createAttemptId: () => `${requestId}/${++attempts}`,
-        chooseUpstream: policy.chooseUpstream,
-        takeRetry: policy.takeRetry,
+        createAttemptId: () => `${requestId}/${++attemptCount}`,
+        chooseUpstream: requestPolicy.chooseUpstream,
+        takeRetry: requestPolicy.takeRetry,
         maxAttempts: route.maxUpstreams,
         stallMs: isStream ? streamStallMs : computeStallMs(route, leftMs),
       }),
@@ -223,14 +224,14 @@
       onFeedReady(feed) {
         handleDecision = feed;
       },
-      onDispatch: policy.recordDispatch,
-      onObserve: policy.recordOutcome,
+      onDispatch: requestPolicy.recordDispatch,
+      onObserve: requestPolicy.recordOutcome,
     });
     void done.then(() => {
       state.openRequests -= 1;
-      policy.end();
+      requestPolicy.end();
       const { firstAtMs, longestPauseMs } = sink.getTimes();
-      const dispatchRecord = policy.describe();
+      const dispatchRecord = requestPolicy.describe();
       const tookMs = scheduler.now() - arrivedAtMs;
       const firstMs = firstAtMs === undefined
         ? undefined
@@ -295,7 +296,8 @@
 
 /**
  * Computes the time without data after which an attempt without a stream is
- * stalled; a safe request is then retried at another upstream.
+ * stalled, at most half of the time left; a safe request is then retried at
+ * another upstream.
  */
 function computeStallMs(route: routing.Route, leftMs: number): number {
   const stallMs = Math.max(
@@ -305,7 +307,7 @@
   return Math.min(stallMs, leftMs / 2);
 }
 
-/** Reads the whole body; calls nothing if the caller disconnects before. */
+/** Reads the whole body; calls nothing if the caller disconnects early. */
 function readBody(
   request: http.IncomingMessage,
   options: {
--- a/packages/anvilhinge/src/entry/context.ts
+++ b/packages/anvilhinge/src/entry/context.ts
@@ -49,6 +49,6 @@
   readonly metrics: metrics.Metrics;
   readonly tracing: tracing.Tracing;
   readonly state: EntryState;
-  /** Returns the known entries of the half that this entry belongs to. */
+  /** Returns the entries of this entry's half, as received by gossip. */
   readonly listMembers: () => readonly addresses.EntryMember[];
 }
--- a/packages/anvilhinge/src/entry/control/assignment_writer.ts
+++ b/packages/anvilhinge/src/entry/control/assignment_writer.ts
@@ -1,4 +1,4 @@
-/** Writes a group's record conditionally; settles writes without an answer. */
+/** Writes assignment records; finds out the outcome if the answer is lost. */
 import * as conditionalWrite from "@anvilhinge/coordination/conditional_write";
 import type * as handover from "@anvilhinge/coordination/handover";
 import * as assignmentCodec from "../../adapters/assignment_codec.ts";
@@ -6,7 +6,7 @@
 
 export type WriterContext = Pick<context.EntryContext, "store" | "scheduler">;
 
-/** Writes the record if its stored version is `next.version`; 0 = no record. */
+/** Writes the record if the stored version is `next.version`; 0 = none. */
 export function writeRecord(
   entry: WriterContext,
   next: handover.StoredRecord,
--- a/packages/anvilhinge/src/entry/control/control_duties.ts
+++ b/packages/anvilhinge/src/entry/control/control_duties.ts
@@ -1,6 +1,7 @@
 /**
  * The control duties of one entry, and requests to the entries that hold the
- * other duties.
+ * other duties. A control duty, such as the moves of one group, is carried out
+ * by the one entry that holds its lease.
  */
 import * as duties from "./duties.ts";
 import * as dutyDirectory from "./duty_directory.ts";
@@ -11,8 +12,9 @@
   extends
     Pick<duties.Duties, "isHolder" | "getFencingNumber" | "listHeldBundles"> {
   /**
-   * Handles a report or forwards it to the entry in charge of the group.
-   * Resolves to false if neither is possible.
+   * Handles a rank's report that it is drained, or forwards it to the entry in
+   * charge of the group. A `forwarded` report comes from another entry and is
+   * not forwarded again. Resolves to false if the report could not be handled.
    */
   report(
     received: entryClient.GroupReport & { readonly forwarded: boolean },
@@ -47,9 +49,9 @@
     duties: leasedDuties,
     signal,
   });
-  let ownAddress = "";
+  let ownControlAddress = "";
 
-  function findDuty(group: string): dutyDirectory.Duty {
+  function getDuty(group: string): dutyDirectory.Duty {
     const owner = entry.upstreams.findAssignment(group);
     return { half: owner?.half ?? entry.settings.half, key: group };
   }
@@ -58,7 +60,9 @@
     duty: dutyDirectory.Duty,
   ): Promise<string | undefined> {
     const address = await directory.findHolder(duty);
-    if (address !== ownAddress) return address;
+    if (address !== ownControlAddress) return address;
+    // This entry could not answer as the holder, so the cached lease may be out
+    // of date.
     directory.invalidate(duty);
     return undefined;
   }
@@ -66,7 +70,7 @@
   async function sendReport(
     report: entryClient.GroupReport,
   ): Promise<boolean> {
-    const duty = findDuty(report.group);
+    const duty = getDuty(report.group);
     const address = await findOtherHolder(duty);
     if (address === undefined) return false;
     const accepted = await client.forwardReport(address, report);
@@ -85,9 +89,9 @@
     },
     getOwnProgress: handover.getProgress,
     async findProgress(group) {
-      const own = handover.getProgress(group);
-      if (own !== undefined) return own;
-      const duty = findDuty(group);
+      const ownProgress = handover.getProgress(group);
+      if (ownProgress !== undefined) return ownProgress;
+      const duty = getDuty(group);
       const address = await findOtherHolder(duty);
       if (address === undefined) return undefined;
       const progress = await client.getMove(address, group);
@@ -96,7 +100,7 @@
     },
     listConflicts: handover.listConflicts,
     start(controlAddress) {
-      ownAddress = controlAddress;
+      ownControlAddress = controlAddress;
       leasedDuties.start(controlAddress);
       handover.start();
     },
--- a/packages/anvilhinge/src/entry/control/duties.ts
+++ b/packages/anvilhinge/src/entry/control/duties.ts
@@ -73,8 +73,8 @@
       schedule: scheduler.schedule,
       signal: options.signal,
       onStarted: (fencingNumber) =>
-        logger.info(`Acquired ${key} with fencing number ${fencingNumber}`),
-      onStopped: () => logger.info(`No longer holds ${key}`),
+        logger.info(`Acquired lease ${key}, fencing number ${fencingNumber}`),
+      onStopped: () => logger.info(`Lost or released lease ${key}`),
     });
     return { machine, driver };
   }
--- a/packages/anvilhinge/src/entry/control/duty_directory.ts
+++ b/packages/anvilhinge/src/entry/control/duty_directory.ts
@@ -6,17 +6,21 @@
 /** A duty of one half. */
 export interface Duty {
   readonly half: string;
+  /** Key of the duty within the half, the name of the group. */
   readonly key: string;
 }
 
 export interface DutyDirectory {
-  /** Control address of the holder; undefined if no holder can be found. */
+  /**
+   * Returns the control address of the holder; undefined if the lease is free or
+   * can't be read.
+   */
   findHolder(duty: Duty): Promise<string | undefined>;
   /** Makes the next `findHolder` read the lease from the store again. */
   invalidate(duty: Duty): void;
 }
 
-/** Creates a directory that caches each lease until it is invalidated. */
+/** Creates a directory that caches each holder until `invalidate` is called. */
 export function createDutyDirectory(
   store: objectStore.ObjectStore,
 ): DutyDirectory {
--- a/packages/anvilhinge/src/entry/control/entry_client.ts
+++ b/packages/anvilhinge/src/entry/control/entry_client.ts
@@ -13,6 +13,7 @@
 /** Progress of a move, as recorded by the entry in charge. */
 export interface MoveProgress {
   readonly epoch: number;
+  /** Ranks that have not reported yet. */
   readonly waitingFor: readonly number[];
 }
 
--- a/packages/anvilhinge/src/entry/control/gossip_client.ts
+++ b/packages/anvilhinge/src/entry/control/gossip_client.ts
@@ -74,7 +74,7 @@
           await client.exchange(wire, { timeoutMs }),
         );
       } catch {
-        // Errors and timeouts have equal consequences for the caller.
+        // The gossip member handles errors and timeouts alike.
         return undefined;
       }
     },
--- a/packages/anvilhinge/src/entry/control/gossip_node.ts
+++ b/packages/anvilhinge/src/entry/control/gossip_node.ts
@@ -41,7 +41,7 @@
   listMembers(): readonly membership.MemberRecord[];
   /** Notifies the other entries that this entry is about to stop. */
   publishLeaving(): void;
-  /** Changes the weight of this entry, its share of the keys. */
+  /** Changes the weight of this entry, its share of the workspaces. */
   setWeight(weight: number): void;
 }
 
@@ -118,6 +118,7 @@
         ...listOptions,
         onUnavailable(message) {
           listOptions.onUnavailable?.(message);
+          // The replica is confirmed already, so the list needs no retry.
           if (isReadinessCheck && member.isReady()) listAbort.abort();
         },
       });
--- a/packages/anvilhinge/src/entry/control/handover_duty.ts
+++ b/packages/anvilhinge/src/entry/control/handover_duty.ts
@@ -1,9 +1,9 @@
 /**
- * The handover duty of one entry: for each group of its half whose lease it
- * holds, completes moves after all ranks have reported, and creates the first
- * record of a group that the settings define. Each step is derived periodically
- * from the current state, so that a lost event delays a step but does not skip
- * it.
+ * The handover duty of one entry: for each group of its half whose duty it
+ * holds, completes moves after all ranks have reported that they are drained,
+ * and creates the first record of a group that the settings define. Each step
+ * is derived periodically from the current state, so that a lost event delays a
+ * step but does not skip it.
  */
 import * as handover from "@anvilhinge/coordination/handover";
 import * as assignmentCodec from "../../adapters/assignment_codec.ts";
@@ -32,8 +32,9 @@
 }
 
 export interface HandoverDuty {
-  /** Handles a report; false unless this entry is in charge of the group. */
+  /** Handles a report; false unless this entry is in charge of a pending move. */
   report(received: entryClient.GroupReport): Promise<boolean>;
+  /** Returns the progress of a pending move; undefined if there is none here. */
   getProgress(group: string): entryClient.MoveProgress | undefined;
   listConflicts(): readonly GroupConflict[];
   /** Starts the periodic updates; they stop when the signal aborts. */
@@ -182,7 +183,8 @@
     }
   }
 
-  function updateGroups(): void {
+  /** Creates first records of groups; lists groups defined more than once. */
+  function createMissingRecords(): void {
     const newConflicts: GroupConflict[] = [];
     for (const group of entry.catalog.listGroupNames()) {
       if (entry.upstreams.findAssignment(group) !== undefined) continue;
@@ -207,7 +209,7 @@
   function updateAll(): void {
     if (entry.state.isReady) {
       updateMoves();
-      updateGroups();
+      createMissingRecords();
     }
     scheduler.schedule(updateAll, {
       delayMs: updateIntervalMs,
--- a/packages/anvilhinge/src/entry/control/replica_applier.ts
+++ b/packages/anvilhinge/src/entry/control/replica_applier.ts
@@ -59,7 +59,9 @@
     const checked = objects.checkObject(path, text);
     if (checked.kind === "invalid") {
       const [problem] = checked.problems;
-      entry.logger.warn(`Ignored ${path}: ${problem?.message}`);
+      entry.logger.warn(
+        `Ignored invalid settings ${path}: ${problem?.message}`,
+      );
       return;
     }
     entry.catalog.setObject(checked.settings);
@@ -78,7 +80,7 @@
   function applyAssignment({ key, value }: PresentObject): void {
     const received = assignmentCodec.parseAssignment(parseJson(value));
     if (received === undefined) {
-      entry.logger.warnOnce(key, `Ignored ${key}: not an assignment`);
+      entry.logger.warnOnce(key, `Ignored invalid assignment ${key}`);
       return;
     }
     entry.upstreams.setAssignment(received);
--- a/packages/anvilhinge/src/entry/control/roster_node.ts
+++ b/packages/anvilhinge/src/entry/control/roster_node.ts
@@ -1,4 +1,7 @@
-/** Runs the entry's roster: sends its messages and passes on received ones. */
+/**
+ * Runs the entry's roster, the list of live entries: sends its messages at each
+ * tick and passes received messages to it.
+ */
 import type * as clock from "@anvilhinge/coordination/clock";
 import * as roster from "@anvilhinge/coordination/roster";
 import type * as datagrams from "../../adapters/datagrams.ts";
@@ -32,7 +35,9 @@
   readonly scheduler: scheduler.Scheduler;
   /** Clock that also advances while the machine is suspended. */
   readonly elapsed: clock.Clock;
+  /** Returns the status that this entry sends while it is the hub. */
   readonly readHubStatus: () => routingView.ViewStatus;
+  /** Called with each status received from the hub. */
   readonly onHubStatus: (
     received: roster.ReceivedHubStatus<routingView.ViewStatus>,
   ) => void;
@@ -79,9 +84,9 @@
     const ids = machine.listLive()
       .filter(({ details: { isReady, isLeaving } }) => isReady && !isLeaving)
       .map(({ id }) => id);
-    const live = [...ids].sort().join(" ");
-    if (live === loggedIds) return;
-    loggedIds = live;
+    const joinedIds = [...ids].sort().join(" ");
+    if (joinedIds === loggedIds) return;
+    loggedIds = joinedIds;
     logger.info("Entries that accept requests changed", {
       count: ids.length,
       ids,
--- a/packages/anvilhinge/src/entry/control/store_follower.ts
+++ b/packages/anvilhinge/src/entry/control/store_follower.ts
@@ -21,8 +21,8 @@
     version: number,
   ) => void;
   /**
-   * Called when the store has confirmed that nothing newer existed at this time
-   * of the scheduler's clock.
+   * Called when the store has confirmed that no newer change existed at
+   * `asOfMs`, a time of the scheduler's clock.
    */
   readonly onConfirmed?: (asOfMs: number) => void;
   /** Called when the store was unavailable or the watch ended. */
@@ -41,7 +41,7 @@
 }
 
 export interface FollowOptions extends ListOptions {
-  /** Returns the maximum time until the next confirmation, in milliseconds. */
+  /** Returns the longest time between two confirmations, in milliseconds. */
   readonly getConfirmIntervalMs?: () => number | undefined;
   /** Time for which events are batched, in milliseconds. */
   readonly batchWindowMs?: number;
--- a/packages/anvilhinge/src/entry/mod.ts
+++ b/packages/anvilhinge/src/entry/mod.ts
@@ -59,7 +59,7 @@
   countOpenRequests(): number;
 }
 
-/** Access to the gossip node; a placeholder until the node is started. */
+/** Access to the gossip node; has no members or effect before its start. */
 interface GossipAccess {
   listMembers: context.EntryContext["listMembers"];
   publishLeaving: () => void;
@@ -70,7 +70,7 @@
   readonly instances: instanceList.InstanceList;
   readonly control: controlService.ControlService;
   readonly duties: controlDuties.ControlDuties;
-  readonly peers: gossipClient.GossipClient;
+  readonly peerClient: gossipClient.GossipClient;
   readonly gossipAccess: GossipAccess;
 }
 
@@ -185,7 +185,7 @@
     listMembers: awilix.asFunction(({ gossipAccess }: Components) => () =>
       gossipAccess.listMembers()
     ).singleton(),
-    peers: awilix.asFunction(({ abort }: Components) =>
+    peerClient: awilix.asFunction(({ abort }: Components) =>
       gossipClient.createGossipClient({
         half: settings.half,
         timeoutMs: gossip.replyTimeoutMs,
@@ -252,7 +252,7 @@
     },
     half: settings.half,
     incarnation: Date.now(),
-    client: components.peers,
+    client: components.peerClient,
     signal: components.abort.signal,
     onApply: applier.apply,
     onReady: options.onReady,
@@ -318,7 +318,7 @@
     ...settings.controlAddress,
     signal,
     onFailure: (call, message) =>
-      logger.warnOnce(call, `Call ${call} failed: ${message}`),
+      logger.warnOnce(call, `Incoming call ${call} failed: ${message}`),
   }).catch((error) => {
     // A server that already listens would keep the process alive.
     abort.abort();
--- a/packages/anvilhinge/src/entry/operators/group_names.ts
+++ b/packages/anvilhinge/src/entry/operators/group_names.ts
@@ -1,12 +1,12 @@
 /**
  * Keeps group names unique across all subtrees, because assignments are stored
- * by group name alone. A name is reserved in the object API before the group is
- * first written, so that two teams can't take it at the same time.
+ * by group name alone. A name is reserved in the object store before the group
+ * is first written, so that two teams can't take it at the same time.
  */
 import * as zod from "zod";
 import type * as objectStore from "../../ports/object_store.ts";
 
-/** Prefix of the keys under which the object API stores reserved group names. */
+/** Prefix of the keys of reserved group names in the object store. */
 export const groupNamePrefix = "group_names/";
 
 export type ReservationOutcome =
--- a/packages/anvilhinge/src/entry/operators/moves.ts
+++ b/packages/anvilhinge/src/entry/operators/moves.ts
@@ -22,8 +22,8 @@
 }
 
 /**
- * Request to hand a group over to the half `to`. The half that currently owns the
- * group cancels a pending move.
+ * Request to hand a group over to the half `to`. If the group is moving away from
+ * this half, the request cancels the move.
  */
 export interface MoveRequest {
   readonly group: string;
@@ -37,6 +37,7 @@
 }
 
 export interface MoveOperations {
+  /** Starts or cancels a move. */
   start(
     request: MoveRequest,
     options: { readonly authorization: string; readonly changeId: string },
@@ -80,9 +81,9 @@
   }
 
   /**
-   * Whether a token for these subtrees may move the group: one of them defines
-   * the group, or no subtree of the half that owns the group defines it and the
-   * token has a subtree in that half.
+   * Whether a token for these subtrees may move the group. In the half that owns
+   * the group, one of the subtrees must define the group; if no subtree of that
+   * half does, any subtree of that half is sufficient.
    */
   function isAllowed(
     subtrees: readonly string[],
@@ -216,7 +217,7 @@
     }
     const progress = await entry.duties.findProgress(group);
     const isCurrent = progress?.epoch === record.epoch;
-    // Null = the entry in charge could not be reached or reported another epoch.
+    // Null = no entry in charge could be reached, or it reported another epoch.
     const waitingFor = isCurrent ? progress.waitingFor : null;
     const body = { outcome: "pending", ...describeRecord(record), waitingFor };
     return { status: 200, body };
--- a/packages/anvilhinge/src/entry/operators/operator_access.ts
+++ b/packages/anvilhinge/src/entry/operators/operator_access.ts
@@ -19,7 +19,7 @@
   );
 }
 
-/** Finds the operator of the header that may change the subtree. */
+/** Finds the operator whose token is given and who may change the subtree. */
 export function findOperator(
   operators: readonly Operator[],
   request: { readonly authorization: string; readonly subtree: string },
--- a/packages/anvilhinge/src/entry/operators/routed_metrics.ts
+++ b/packages/anvilhinge/src/entry/operators/routed_metrics.ts
@@ -9,6 +9,7 @@
   readonly kind: routing.RouteKind;
   /** Priority of the workspace, or of the route if there is no workspace. */
   readonly priority: number;
+  /** `gone` = the caller disconnected before the end of the answer. */
   readonly outcome: "answered" | "failed" | "refused" | "gone";
   readonly tookMs: number;
   /** Time to the first part of the answer; undefined if there was none. */
--- a/packages/anvilhinge/src/entry/operators/settings_change.ts
+++ b/packages/anvilhinge/src/entry/operators/settings_change.ts
@@ -1,7 +1,9 @@
 /**
  * Writes one change of a settings object: validates it against the stored objects
- * of its subtree, writes it on condition of the given version, and settles a
- * write whose answer was lost.
+ * of its subtree, writes it on condition of the given version, and determines
+ * the outcome of a write whose answer was lost. If such a write can still take
+ * effect, a fence prevents it: a write that keeps the text and raises the
+ * version.
  */
 import * as crypto from "node:crypto";
 import * as ambiguousWrite from "@anvilhinge/coordination/ambiguous_write";
@@ -52,6 +54,7 @@
   readonly ifVersion?: number;
 }
 
+/** Number of hexadecimal digits of a stored text digest. */
 const digestLength = 16;
 const fenceAuthor = "anvilhinge";
 
@@ -106,7 +109,8 @@
   return ifVersion === 0 && isAbsent ? stored!.version : ifVersion;
 }
 
-async function checkGroupName(
+/** Reserves the name of a group; returns the outcome if that fails. */
+async function reserveNameOfGroup(
   change: SettingsChange,
   options: ChangeOptions,
 ): Promise<ChangeOutcome | undefined> {
@@ -182,7 +186,7 @@
     listed.objects.flatMap(parseStored),
   );
   if (checked.kind === "invalid") return checked;
-  const refused = await checkGroupName(change, options);
+  const refused = await reserveNameOfGroup(change, options);
   if (refused !== undefined) return refused;
   return await writeRecord(change, { ...options, stored });
 }
@@ -216,7 +220,10 @@
   }
 }
 
-/** Determines the outcome of a change; rules it out if it is not found. */
+/**
+ * Determines the outcome of a change. If the change is not in the history but
+ * could still take effect, rules it out with a fence.
+ */
 export async function settleChange(
   ambiguousChange: AmbiguousChange,
   options: ChangeOptions,
--- a/packages/anvilhinge/src/entry/routed_entry.ts
+++ b/packages/anvilhinge/src/entry/routed_entry.ts
@@ -71,7 +71,7 @@
 const addressTtlMs = 1_500;
 /** Some callers cache an address answer for three times as long. */
 const addressCacheFactor = 3;
-/** Part of the time limit of a stop, reserved for closing servers in order. */
+/** Part of the time limit of a stop, reserved for an orderly shutdown. */
 const stopReserveMs = 400;
 const drainPollIntervalMs = 20;
 const maxHeaderBytes = 64 * 1024;
@@ -148,6 +148,7 @@
       signal: abort.signal,
     }),
   });
+  // Set once the roster and the policy exist; earlier messages are dropped.
   let handleMessage: (message: Message, from: string) => void = () => {};
   const sockets = await datagrams.openDatagrams({
     address: settings.peers,
