--- a/packages/anvilhinge/src/agent/ranks/map_rebalancer.ts
+++ b/packages/anvilhinge/src/agent/ranks/map_rebalancer.ts
@@ -34,7 +34,8 @@
 export interface MapRebalancer {
   /**
    * Runs one iteration of the leader; resolves when it has finished. Must not
-   * be called while an iteration is in progress.
+   * be called while an iteration is in progress: two concurrent rounds of one
+   * leader could hold a pass twice.
    */
   tick(status: rankPeers.RankStatus): Promise<void>;
   /** Discards the collected counts of an agent that no longer leads. */
@@ -75,6 +76,7 @@
 const stallThresholdMs = 300;
 /** Stall threshold in passes, for groups whose passes take long. */
 const stallThresholdPasses = 4;
+/** Longer than an agent spends on one order (see `rank_rpc.ts`). */
 const orderTimeoutMs = 2_600;
 /**
  * Skew above which a switch is worth its expert copies, for idle and for fully
@@ -83,7 +85,7 @@
  */
 const idleSkewThreshold = 2.2;
 const busySkewThreshold = 1.3;
-/** Hysteresis: a plan suffices with a skew this far below the threshold. */
+/** Hysteresis: a plan aims at a skew this far below the threshold. */
 const targetSkewMargin = 0.2;
 /** Minimum fraction of the load above the mean that a switch must remove. */
 const minExcessReduction = 0.4;
@@ -125,7 +127,7 @@
   let switchStep = 0;
 
   async function samplePopularity(): Promise<
-    countsWindow.Popularity | undefined
+    countsWindow.PopularityEstimate | undefined
   > {
     const sample = await engine.readCounts();
     if (sample === undefined) return undefined;
@@ -225,14 +227,14 @@
           return resolve({ outcome: effect.outcome, phaseMs });
         }
         const { call, rank } = effect;
-        const isSilent = rank === expectedSilentRank;
-        if (isSilent) expectedSilentRank = undefined;
+        const isExpectedSilent = rank === expectedSilentRank;
+        if (isExpectedSilent) expectedSilentRank = undefined;
         const answer = await options.callRank(
           rank,
           effect.kind === "read"
             ? { kind: "report" }
             : { kind: "order", order: effect.order, epoch: status.epoch },
-          chooseRoute(effect, round.getPhase(), isSilent),
+          chooseRoute(effect, round.getPhase(), isExpectedSilent),
         );
         feed(convertAnswer(answer, { call, rank }));
       }
@@ -295,7 +297,7 @@
     status: rankPeers.RankStatus,
     { map, popularity, allowedSkew }: {
       readonly map: GroupMap;
-      readonly popularity: countsWindow.Popularity;
+      readonly popularity: countsWindow.PopularityEstimate;
       readonly allowedSkew: number;
     },
   ): Promise<void> {
@@ -344,7 +346,7 @@
   /** Plans with the fewest copies per rank that reach the target skew. */
   function planFewestCopies(
     map: GroupMap,
-    { shares }: countsWindow.Popularity,
+    { shares }: countsWindow.PopularityEstimate,
     targetSkew: number,
   ): boundedPlanner.BoundedPlan {
     for (let copies = 1;; copies += 1) {
@@ -376,7 +378,10 @@
     return Math.min(maxLeadPasses, passes);
   }
 
-  /** Measures the duration of a pass from the steps of this agent's rank. */
+  /**
+   * Measures the duration of a pass as a mean over four or more passes of this
+   * agent's rank.
+   */
   function observePass({ step }: rankPeers.RankStatus): void {
     const nowMs = scheduler.now();
     const previous = lastObservedStep;
@@ -445,18 +450,21 @@
   };
 }
 
-/** Chooses the route to a rank: calls are urgent once a pass is held. */
+/**
+ * Chooses the route to a rank: calls are urgent once a pass is held, because the
+ * whole group waits for the pass.
+ */
 function chooseRoute(
   effect: Exclude<switchRound.RoundEffect, { readonly kind: "finish" }>,
   phase: switchRound.RoundPhase,
-  isSilent: boolean,
+  isExpectedSilent: boolean,
 ): rankCallRouter.CallOptions {
   if (phase === "preparing") {
     const timeoutMs = effect.kind === "read" ? readTimeoutMs : orderTimeoutMs;
     return { timeoutMs, route: "agent" };
   }
   if (effect.kind === "read") {
-    return isSilent
+    return isExpectedSilent
       ? { timeoutMs: stalledReadTimeoutMs, route: "agent" }
       : { timeoutMs: urgentReadTimeoutMs, route: "either" };
   }
--- a/packages/anvilhinge/src/agent/ranks/order_runner.ts
+++ b/packages/anvilhinge/src/agent/ranks/order_runner.ts
@@ -13,7 +13,7 @@
   readonly timeoutMs: number;
 }
 
-/** Maximum sends of one order; a fault may lose a third of them. */
+/** Maximum sends of one order; during a fault, a third of them may be lost. */
 const maxSends = 12;
 
 /** Runs one order; resolves to its outcome. */
--- a/packages/anvilhinge/src/agent/ranks/rank_agent.ts
+++ b/packages/anvilhinge/src/agent/ranks/rank_agent.ts
@@ -52,7 +52,7 @@
   readonly getSpec: () => GroupSpec | undefined;
   /** Lists the addresses at which other agents may listen. */
   readonly listAddresses: () => readonly string[];
-  /** Stops the agent. */
+  /** Stops the agent when aborted. */
   readonly signal: AbortSignal;
 }
 
@@ -71,6 +71,7 @@
 const maxCopiesPerRank = 2;
 /** Margin that is added to the specified maximum lag of reports. */
 const reportLagMarginMs = 50;
+/** Assumed until the spec has been read. */
 const defaultReportLagMs = 300;
 
 /** Whether a datagram contains a message for an agent. */
@@ -104,17 +105,20 @@
   });
   let rebalancer: mapRebalancer.MapRebalancer | undefined;
   let ownRank: number | undefined;
-  /** Epoch that was open at the first read of the engine. */
+  /**
+   * Epoch that was open at the first read of the engine; an earlier process of
+   * this rank may have held passes in it.
+   */
   let firstOpenEpoch: number | undefined;
   let tickCount = 0;
   let isLeading = false;
 
   function sendStatus(status: rankPeers.RankStatus): void {
     const message: StatusMessage = { kind: "status", status };
-    const interval = peers.isCandidate()
+    const intervalTicks = peers.isCandidate()
       ? candidateStatusTicks
       : otherStatusTicks;
-    if (tickCount % interval !== 0) return;
+    if (tickCount % intervalTicks !== 0) return;
     const live = peers.listLive().map(({ address }) => address);
     for (const address of new Set([...options.listAddresses(), ...live])) {
       sockets.send(message, address);
--- a/packages/anvilhinge/src/agent/ranks/rank_agent_test.ts
+++ b/packages/anvilhinge/src/agent/ranks/rank_agent_test.ts
@@ -49,7 +49,7 @@
     expect(harness.countDistantOrders()).toBe(switches.length);
   });
 
-  it("resume soon after the leader freezes while a pass is held", async () => {
+  it("resume passes soon after the leader freezes while a pass is held", async () => {
     const harness = rankWorld.createRankWorld({ rankCount });
     expect(await advanceToHold(harness, 5_000)).toBe(true);
     harness.freeze(0);
@@ -69,7 +69,7 @@
     expectSingleMap(harness);
   });
 
-  it("resume soon after the machine that ordered a hold stops", async () => {
+  it("resume passes soon after the machine that ordered a hold stops", async () => {
     const harness = rankWorld.createRankWorld({ rankCount });
     const isNextRankArmed = () => harness.isArmed(1);
     expect(await advanceUntil(isNextRankArmed, harness, 5_000)).toBe(true);
@@ -88,7 +88,7 @@
     { name: "the leader's machine", rank: 0 },
     { name: "another machine", rank: 4 },
   ])(
-    "wait for a stopped machine whose rank may be armed: $name",
+    "keep a pass held while a machine whose rank may be armed is stopped: $name",
     async ({ rank }) => {
       const harness = rankWorld.createRankWorld({ rankCount });
       expect(await advanceToHold(harness, 5_000)).toBe(true);
--- a/packages/anvilhinge/src/agent/ranks/rank_call_router.ts
+++ b/packages/anvilhinge/src/agent/ranks/rank_call_router.ts
@@ -62,7 +62,7 @@
     return rankRpc.executeCall(call, { engine, scheduler });
   }
 
-  function sendToEither(
+  function sendToAgentOrEngine(
     peer: rankPeers.RankPeer,
     call: rankRpc.RankCall,
     timeoutMs: number,
@@ -100,7 +100,7 @@
           ? await calls.call(peer.address, call, { timeoutMs })
           : undefined;
       case "either":
-        return await sendToEither(peer, call, timeoutMs);
+        return await sendToAgentOrEngine(peer, call, timeoutMs);
       case "engine":
         return await sendToEngine(peer, call);
     }
--- a/packages/anvilhinge/src/agent/ranks/rank_peers.ts
+++ b/packages/anvilhinge/src/agent/ranks/rank_peers.ts
@@ -11,7 +11,10 @@
   readonly size: number;
   readonly rank: number;
   readonly epoch: number;
-  /** False while the agent must not hold forward passes. */
+  /**
+   * False while the agent can't run switch rounds: the group is not open, or the
+   * spec has not been read.
+   */
   readonly canLead: boolean;
   /** Pass that is held at the rank. */
   readonly heldStep: number | undefined;
@@ -41,7 +44,7 @@
   isRecent(peer: RankPeer): boolean;
   /** Returns the agent last seen at a rank in this epoch, live or not. */
   findLastSeen(rank: number): RankPeer | undefined;
-  /** Whether this rank may lead next and sends its status often. */
+  /** Whether this rank may lead next and therefore sends its status often. */
   isCandidate(): boolean;
   isLeading(): boolean;
 }
--- a/packages/anvilhinge/src/agent/ranks/rank_rpc.ts
+++ b/packages/anvilhinge/src/agent/ranks/rank_rpc.ts
@@ -114,7 +114,7 @@
   >();
   /** Answers by call id, so that a retransmitted call does not run again. */
   const answers = new Map<string, Promise<RankAnswer>>();
-  let sentCount = 0;
+  let callCount = 0;
 
   const execute = (call: RankCall): Promise<RankAnswer> =>
     executeCall(call, { engine, scheduler });
@@ -129,8 +129,8 @@
   return {
     execute,
     call(address, call, { timeoutMs }) {
-      sentCount += 1;
-      const id = `${options.incarnation}/${sentCount}`;
+      callCount += 1;
+      const id = `${options.incarnation}/${callCount}`;
       const message: CallMessage = { kind: "call", id, call };
       const abort = new AbortController();
       const { signal } = abort;
@@ -153,9 +153,9 @@
       });
     },
     handleCall({ id, call }, from) {
-      const earlier = answers.get(id);
-      const answer = earlier ?? execute(call);
-      if (earlier === undefined) keepAnswer(id, answer);
+      const earlierAnswer = answers.get(id);
+      const answer = earlierAnswer ?? execute(call);
+      if (earlierAnswer === undefined) keepAnswer(id, answer);
       void answer.then((result) => {
         const message: AnswerMessage = { kind: "answer", id, answer: result };
         options.sockets.send(message, from);
--- a/packages/anvilhinge/src/agent/ranks/stall_detector.ts
+++ b/packages/anvilhinge/src/agent/ranks/stall_detector.ts
@@ -3,6 +3,7 @@
 export interface PassSample {
   readonly atMs: number;
   readonly epoch: number;
+  /** Number of the last pass that has begun. */
   readonly step: number;
   /** Whether the rank has requests. */
   readonly isBusy: boolean;
--- a/packages/anvilhinge/src/agent/ranks/stall_detector_test.ts
+++ b/packages/anvilhinge/src/agent/ranks/stall_detector_test.ts
@@ -14,7 +14,7 @@
     expect(detector.observe(createSample({ atMs: 700 }))).toBe(600);
   });
 
-  it("restarts with each pass and each epoch", () => {
+  it("restarts the measurement with each pass and each epoch", () => {
     const detector = stallDetector.createStallDetector();
     detector.observe(createSample({ atMs: 0 }));
     expect(detector.observe(createSample({ atMs: 400, step: 11 }))).toBe(0);
--- a/packages/coordination/src/maps/baselines.ts
+++ b/packages/coordination/src/maps/baselines.ts
@@ -1,4 +1,4 @@
-/** Simple policies as baselines for the planner. */
+/** Repacking of all layers: the baseline that the planner is compared with. */
 import type * as expertMap from "./expert_map.ts";
 
 export interface RepackInput {
--- a/packages/coordination/src/maps/bounded_planner.ts
+++ b/packages/coordination/src/maps/bounded_planner.ts
@@ -37,13 +37,17 @@
  * Exponent of rank loads in a layer's cost; lets the highest loads dominate.
  */
 const loadExponent = 8;
-/** Minimum relative gain of a move; smaller gains are noise of the counts. */
+/**
+ * Minimum gain of a move, relative to the cost of the most loaded rank; smaller
+ * gains are noise of the counts.
+ */
 const minRelativeGain = 0.01;
 /** Number of least loaded ranks that are considered as targets of a move. */
 const maxTargetRanks = 8;
 
 interface Layer {
   readonly ranks: number[][];
+  /** Ranks that hold each expert. */
   readonly holders: number[][];
   readonly shares: readonly number[];
   readonly loads: number[];
@@ -134,6 +138,7 @@
   layer.holders[added]!.push(rank);
 }
 
+/** Undoes a move; the caller restores the loads. */
 function restorePlacement(layer: Layer, move: Move): void {
   const { expert, from, to, removed } = move;
   if (removed === undefined) {
@@ -240,7 +245,10 @@
     }
   }
 
-  /** Computes by how much a move lowers the cost of the loads, per copy. */
+  /**
+   * Computes by how much a move lowers the cost of the loads, per added expert;
+   * an exchange adds two.
+   */
   #computeGain(layer: Layer, move: Move): number {
     const loadsBefore = [...layer.loads];
     const changedRanks = applyMove(layer, move);
@@ -289,8 +297,10 @@
   plan(): BoundedPlan {
     const skewBefore = computeMeanSkew(this.#layers);
     while (true) {
-      const openLayers = this.#layers.filter(({ isConverged }) => !isConverged);
-      const [first, ...rest] = openLayers;
+      const improvableLayers = this.#layers.filter(({ isConverged }) =>
+        !isConverged
+      );
+      const [first, ...rest] = improvableLayers;
       if (first === undefined) break;
       const mostSkewed = rest.reduce(
         (highest, layer) =>
--- a/packages/coordination/src/maps/bounded_planner_test.ts
+++ b/packages/coordination/src/maps/bounded_planner_test.ts
@@ -60,7 +60,8 @@
     expect(layerLoad.computeSkew(plan.map, { shares, speeds }))
       .toBeCloseTo(plan.skewAfter, 6);
     expect(plan.skewAfter).toBeLessThan(plan.skewBefore / 2);
-    // Required: the most loaded rank has at most 1.3 times the mean load.
+    // The users' target: the most loaded rank has at most 1.3 times the mean
+    // load.
     const next = boundedPlanner.planBounded({
       map: plan.map,
       shares,
@@ -70,7 +71,7 @@
   },
 );
 
-test("a second plan continues where the first stopped", () => {
+test("a second plan lowers the skew below that of the first plan", () => {
   const shares = generateShares(7);
   const first = boundedPlanner.planBounded({
     map: expertMap.createEvenMap(shape),
@@ -88,7 +89,7 @@
   expect(second.skewAfter).toBeLessThan(first.skewAfter);
 });
 
-test("an even load causes no copies", () => {
+test("a plan copies no expert if the load is even", () => {
   const even = Array.from(
     { length: shape.layerCount },
     () => Array.from({ length: shape.expertCount }, () => 1 / 64),
--- a/packages/coordination/src/maps/counts_window.ts
+++ b/packages/coordination/src/maps/counts_window.ts
@@ -28,7 +28,7 @@
   readonly counts: readonly number[];
 }
 
-export interface Popularity {
+export interface PopularityEstimate {
   /** Share of a layer's tokens by layer, then by expert. */
   readonly shares: readonly (readonly number[])[];
   /** Consecutive samples that agree with the estimate, including the newest. */
@@ -40,7 +40,7 @@
 export interface CountsWindow {
   observe(sample: CountsSample): void;
   /** Returns the estimate; undefined until there are enough counts. */
-  estimate(): Popularity | undefined;
+  estimate(): PopularityEstimate | undefined;
   /** Discards all samples, for a rank that has restarted. */
   reset(): void;
 }
@@ -64,7 +64,7 @@
   const halfLifeMs = options.halfLifeMs ?? defaultHalfLifeMs;
   const shiftThreshold = options.shiftThreshold ?? defaultShiftThreshold;
   let lastSample: CountsSample | undefined;
-  let weights: number[] = [];
+  let decayedCounts: number[] = [];
   let agreeingSamples = 0;
   let newestCountPerLayer = 0;
 
@@ -73,32 +73,32 @@
     for (let layer = 0; layer < layerCount; layer += 1) {
       const from = layer * expertCount;
       const deltaTotal = sum(delta.slice(from, from + expertCount));
-      const weightTotal = sum(weights.slice(from, from + expertCount));
-      if (deltaTotal === 0 || weightTotal === 0) continue;
+      const decayedTotal = sum(decayedCounts.slice(from, from + expertCount));
+      if (deltaTotal === 0 || decayedTotal === 0) continue;
       for (let index = from; index < from + expertCount; index += 1) {
         distance += Math.abs(
-          delta[index]! / deltaTotal - weights[index]! / weightTotal,
+          delta[index]! / deltaTotal - decayedCounts[index]! / decayedTotal,
         );
       }
     }
     return distance / (2 * layerCount);
   }
 
-  function updateWeights(delta: readonly number[], elapsedMs: number): void {
+  function updateCounts(delta: readonly number[], elapsedMs: number): void {
     const isShift = agreeingSamples > 0 &&
       measureDistance(delta) > shiftThreshold;
     const decayFactor = isShift || agreeingSamples === 0
       ? 0
       : 2 ** (-elapsedMs / halfLifeMs);
-    weights = delta.map((value, index) =>
-      value + decayFactor * (decayFactor === 0 ? 0 : weights[index]!)
+    decayedCounts = delta.map((value, index) =>
+      value + decayFactor * (decayFactor === 0 ? 0 : decayedCounts[index]!)
     );
     agreeingSamples = isShift ? 1 : agreeingSamples + 1;
   }
 
   function reset(): void {
     lastSample = undefined;
-    weights = [];
+    decayedCounts = [];
     agreeingSamples = 0;
   }
 
@@ -118,17 +118,18 @@
         return;
       }
       const countPerLayer = sum(delta) / layerCount;
-      // Too few counts could pass for a shift: wait for the next sample.
+      // Sampling noise in few counts could be mistaken for a shift, so they are
+      // counted with the next sample.
       if (countPerLayer < minCountPerLayer) return;
       newestCountPerLayer = countPerLayer;
-      updateWeights(delta, sample.atMs - previous.atMs);
+      updateCounts(delta, sample.atMs - previous.atMs);
       lastSample = sample;
     },
     estimate() {
       if (agreeingSamples === 0) return undefined;
       const shares = Array.from({ length: layerCount }, (_, layer) => {
         const from = layer * expertCount;
-        const row = weights.slice(from, from + expertCount);
+        const row = decayedCounts.slice(from, from + expertCount);
         const total = sum(row);
         return row.map((value) => total > 0 ? value / total : 1 / expertCount);
       });
--- a/packages/coordination/src/maps/counts_window_test.ts
+++ b/packages/coordination/src/maps/counts_window_test.ts
@@ -62,7 +62,7 @@
   });
 });
 
-test("starts over after the rank has restarted", () => {
+test("discards earlier samples after the rank has restarted", () => {
   const { addCounts, restart } = createHarness();
   addCounts(even);
   expect(restart([10, 10, 10, 10])).toBeUndefined();
--- a/packages/coordination/src/maps/expert_map.ts
+++ b/packages/coordination/src/maps/expert_map.ts
@@ -10,7 +10,7 @@
   readonly layers: readonly (readonly (readonly number[])[])[];
 }
 
-/** Size of a group and the placement of its ranks. */
+/** Size of a group and the failure domains of its ranks. */
 export interface GroupShape {
   readonly layerCount: number;
   readonly expertCount: number;
@@ -55,7 +55,10 @@
   return { layers: Array.from({ length: shape.layerCount }, () => ranks) };
 }
 
-/** Checks that a map fits a group and contains every expert. */
+/**
+ * Checks that a map fits a group, contains every expert, and spreads replicas
+ * over failure domains.
+ */
 export function checkMap(map: ExpertMap, shape: GroupShape): MapCheck {
   const [first, ...rest] = listProblems(map, shape);
   if (first === undefined) return { kind: "feasible" };
--- a/packages/coordination/src/maps/layer_load.ts
+++ b/packages/coordination/src/maps/layer_load.ts
@@ -3,6 +3,7 @@
 
 /** Shares of the experts and speeds of the ranks of one layer. */
 export interface LayerLoad {
+  /** Share of the layer's tokens by expert. */
   readonly shares: readonly number[];
   /** Relative speed by rank; 1 is the normal speed. */
   readonly speeds: readonly number[];
@@ -13,7 +14,10 @@
   readonly ranks: number[][];
   /** Number of replicas by expert. */
   readonly replicaCounts: number[];
-  /** Time by rank: its share of the layer's tokens, divided by its speed. */
+  /**
+   * Time by rank: its share of the layer's tokens, divided by its speed. A rank
+   * of normal speed processes all tokens of the layer in time 1.
+   */
   readonly times: number[];
 }
 
@@ -48,7 +52,10 @@
   return total / speeds.reduce((sum, speed) => sum + speed, 0);
 }
 
-/** Returns the slowest over the mean rank time, each summed over layers. */
+/**
+ * Returns the ratio of the slowest to the mean rank time. Both are summed over
+ * the layers first; `bounded_planner.ts` averages the ratios of the layers.
+ */
 export function computeSkew(
   map: expertMap.ExpertMap,
   load: {
--- a/packages/coordination/src/maps/map_schedule.ts
+++ b/packages/coordination/src/maps/map_schedule.ts
@@ -1,7 +1,7 @@
 /**
- * Schedule of the maps that a rank uses: a base map before some step, the next
- * map from that step on. A gate holds the rank before a step until the decision
- * of a switch.
+ * Schedule of the maps that a rank uses: the base map up to a switch, the next
+ * map from the step of the switch on. A step is one forward pass of the group. A
+ * gate holds the rank before a step until the switch is decided.
  */
 import type * as expertMap from "./expert_map.ts";
 
--- a/packages/coordination/src/maps/map_versions.ts
+++ b/packages/coordination/src/maps/map_versions.ts
@@ -1,12 +1,13 @@
 /**
- * Map versions that are unique across leaders and restarts: the high digits are
- * the wall-clock time, the low digits the leader's rank.
+ * Map versions that are unique across leaders and restarts: the last three
+ * decimal digits are the leader's rank, the digits before are the wall-clock
+ * time.
  */
 
 export interface MapVersionGeneratorOptions {
   /** Rank of the leader in its group. */
   readonly rank: number;
-  /** Wall-clock time in milliseconds. */
+  /** Returns the wall-clock time in milliseconds. */
   readonly readWallMs: () => number;
 }
 
@@ -16,7 +17,7 @@
  */
 export type CreateMapVersion = (knownVersion: number) => number;
 
-/** Exclusive upper bound of ranks, which are the low digits of a version. */
+/** Ranks are below this number and fit into the low digits of a version. */
 const maxRanks = 1_000;
 
 /** Creates the version generator of one leader. */
--- a/packages/coordination/src/maps/order_settler.ts
+++ b/packages/coordination/src/maps/order_settler.ts
@@ -37,6 +37,7 @@
 
 /** Interval between reads of a rank that is copying experts. */
 const copyPollMs = 15;
+/** Delay before the state is read again after a failed read. */
 const readRetryMs = 10;
 
 /** Creates the state machine for one order. */
--- a/packages/coordination/src/maps/planner.ts
+++ b/packages/coordination/src/maps/planner.ts
@@ -3,19 +3,23 @@
  * expert into a slot of a rank (replacing a spare replica of another expert if
  * no slot is free), or exchanges two experts. A move is accepted only if the
  * step time that it saves while the forecast is valid outweighs the time to
- * load its weights.
+ * load its weights. Agents plan with `bounded_planner.ts` instead.
  */
 import * as expertMap from "./expert_map.ts";
 import * as layerLoad from "./layer_load.ts";
 
 export interface PlannerOptions {
   readonly shape: expertMap.GroupShape;
-  /** 0 considers only the rebalancing cost, 1 only the step-time skew. */
+  /**
+   * Weight of the step-time skew against the cost of rebalancing: 0 considers
+   * only the cost, 1 only the skew.
+   */
   readonly skewWeight: number;
   /** Size of one expert's weights in one layer, in bytes. */
   readonly expertBytes: number;
   /**
-   * Rate at which the weight store serves the group, in bytes per millisecond.
+   * Rate at which the store of the model weights serves the whole group, in
+   * bytes per millisecond.
    */
   readonly bytesPerMs: number;
   /**
@@ -61,7 +65,7 @@
   readonly rank: number;
   readonly added: number;
   readonly removed: number | undefined;
-  /** Rank that takes `removed` for `added`; undefined without an exchange. */
+  /** Rank that gets `removed` for `added`; undefined without an exchange. */
   readonly exchangeRank: number | undefined;
   /** Time of the slowest rank after the move. */
   readonly slowest: number;
@@ -120,9 +124,10 @@
 }
 
 /**
- * Returns the minimum saving of a move as layer time: `perLoad` is the cost of
- * one load. `floor` covers the hysteresis and the amount by which sampling
- * noise alone raises the slowest of many ranks.
+ * Returns the thresholds for the saving of a move, in layer time. The saving
+ * must exceed `floor`: the hysteresis or, if higher, the amount by which
+ * sampling noise alone raises the time of the slowest of many ranks. It must
+ * also exceed the cost, `perLoad` for each expert that a rank loads.
  */
 function computeSavingThreshold(
   { input, options }: LayerInput,
@@ -232,9 +237,9 @@
       newTimes[holder]! -= (shareBefore - shareAfter) / speeds[holder]!;
     }
     if (removed !== undefined && holder !== rank && experts.includes(removed)) {
-      const addedShare = removedShare / (removedCount - 1) -
+      const extraShare = removedShare / (removedCount - 1) -
         removedShare / removedCount;
-      newTimes[holder]! += addedShare / speeds[holder]!;
+      newTimes[holder]! += extraShare / speeds[holder]!;
     }
   });
   const droppedShare = removed === undefined ? 0 : removedShare / removedCount;
--- a/packages/coordination/src/maps/planner_test.ts
+++ b/packages/coordination/src/maps/planner_test.ts
@@ -73,7 +73,7 @@
     expect(times[3]).toBeLessThan(1 / 4);
   });
 
-  test("keeps the map when the forecast is too short to repay a load", () => {
+  test("keeps the map if the forecast expires before a load has paid off", () => {
     const row = [0.3, 0.1, 0.1, 0.1, 0.1, 0.1, 0.1, 0.1];
     const input = createInput([row, row], even);
     expect(planner.planMap(input, options).kind).toBe("move");
@@ -82,7 +82,7 @@
   });
 
   test.each([0.25, 0.75])(
-    "keeps the map under sampling noise alone, weight %d",
+    "keeps the map under sampling noise alone, skew weight %d",
     (weight) => {
       const draw = random.createRandomSource(seed);
       const estimator = popularity.createPopularityEstimator(shape);
@@ -108,7 +108,7 @@
 });
 
 describe("popularity", () => {
-  test("ignores duplicate and late reports and handles a restart", () => {
+  test("ignores duplicate and late reports, counts from 0 after a restart", () => {
     const estimator = popularity.createPopularityEstimator({
       layerCount: 1,
       expertCount: 2,
--- a/packages/coordination/src/maps/popularity.ts
+++ b/packages/coordination/src/maps/popularity.ts
@@ -1,6 +1,7 @@
 /**
  * Estimates the load of each expert from counts that arrive late and from
- * several reporters. Deterministic; all timestamps are passed in.
+ * several reporters, for `planner.ts`; agents use `counts_window.ts`.
+ * Deterministic; all timestamps are passed in.
  *
  * The level of an expert is its exponentially weighted share of the layer's
  * tokens. The distance of each new report from the level determines how long
@@ -57,7 +58,8 @@
   estimate(): Forecast;
 }
 
-interface Reporter {
+/** Last report of one reporter. */
+interface ReportedCounts {
   incarnation: string;
   countedAtMs: number;
   tokens: readonly (readonly number[])[];
@@ -67,7 +69,7 @@
 const maxHorizonMs = 86_400_000;
 /** Weight of a new error in the moving average of errors. */
 const errorWeight = 0.2;
-/** Ratio of mean absolute to standard deviation of a normal distribution. */
+/** Mean absolute deviation of a normal distribution of standard deviation 1. */
 const meanAbsoluteDeviationRatio = Math.sqrt(2 / Math.PI);
 
 /** Creates an estimator without counts. */
@@ -76,22 +78,25 @@
 ): PopularityEstimator {
   const { layerCount, expertCount } = options;
   const halfLifeMs = options.halfLifeMs ?? defaultHalfLifeMs;
-  const reporters = new Map<string, Reporter>();
-  const weights = createMatrix(layerCount, expertCount);
-  let newestMs: number | undefined;
+  const lastReports = new Map<string, ReportedCounts>();
+  const decayedCounts = createMatrix(layerCount, expertCount);
+  let newestCountedAtMs: number | undefined;
   let error = 0;
   let noise = 0;
   let driftPerMs = 0;
-  let hasError = false;
+  let isErrorMeasured = false;
 
-  /** Returns the tokens since the last report of the reporter. */
+  /**
+   * Records a report. Returns the tokens since the last report of the reporter;
+   * undefined for a first or late report.
+   */
   function computeDelta(report: CountReport): number[][] | undefined {
-    const previous = reporters.get(report.reporter);
+    const previous = lastReports.get(report.reporter);
     const isSameIncarnation = previous?.incarnation === report.incarnation;
     if (previous !== undefined && report.countedAtMs <= previous.countedAtMs) {
       return undefined;
     }
-    reporters.set(report.reporter, {
+    lastReports.set(report.reporter, {
       incarnation: report.incarnation,
       countedAtMs: report.countedAtMs,
       tokens: report.tokens,
@@ -108,10 +113,13 @@
   }
 
   function applyDecay(countedAtMs: number): number {
-    const elapsedMs = Math.max(0, countedAtMs - (newestMs ?? countedAtMs));
-    newestMs = Math.max(newestMs ?? countedAtMs, countedAtMs);
+    const elapsedMs = Math.max(
+      0,
+      countedAtMs - (newestCountedAtMs ?? countedAtMs),
+    );
+    newestCountedAtMs = Math.max(newestCountedAtMs ?? countedAtMs, countedAtMs);
     const factor = 2 ** (-elapsedMs / halfLifeMs);
-    for (const row of weights) {
+    for (const row of decayedCounts) {
       for (let expert = 0; expert < row.length; expert += 1) {
         row[expert]! *= factor;
       }
@@ -120,14 +128,15 @@
   }
 
   function updateError(delta: readonly (readonly number[])[]): void {
-    const measured = measureError(weights, delta);
+    const measured = measureError(decayedCounts, delta);
     if (measured === undefined) return;
-    const weight = hasError ? errorWeight : 1;
+    const weight = isErrorMeasured ? errorWeight : 1;
     error += weight * (measured.error - error);
     noise += weight * (measured.noise - noise);
-    hasError = true;
+    isErrorMeasured = true;
     // The error combines independent drift and noise, so their squares add up.
-    // The level lags by the mean age of its counts (half-life / ln 2).
+    // The level lags by the mean age of its counts (half-life / ln 2), which is
+    // the time in which the drift has built up.
     const drift = Math.sqrt(Math.max(0, error ** 2 - noise ** 2));
     driftPerMs = drift * Math.LN2 / halfLifeMs;
   }
@@ -140,16 +149,16 @@
       updateError(delta);
       delta.forEach((row, layer) =>
         row.forEach((count, expert) => {
-          weights[layer]![expert]! += count;
+          decayedCounts[layer]![expert]! += count;
         })
       );
     },
     estimate() {
-      const shares = weights.map(normalizeShares);
+      const shares = decayedCounts.map(normalizeShares);
       const horizonMs = driftPerMs === 0
         ? maxHorizonMs
         : Math.min(maxHorizonMs, 1 / driftPerMs);
-      const total = weights.reduce((sum, row) => sum + sumRow(row), 0);
+      const total = decayedCounts.reduce((sum, row) => sum + sumRow(row), 0);
       const tokensPerLayer = total / layerCount;
       return { shares, horizonMs, error, noise, tokensPerLayer };
     },
@@ -177,22 +186,23 @@
  * that sampling noise explains, both as means over layers.
  */
 function measureError(
-  weights: readonly (readonly number[])[],
+  decayedCounts: readonly (readonly number[])[],
   delta: readonly (readonly number[])[],
 ): { readonly error: number; readonly noise: number } | undefined {
   let error = 0;
   let noise = 0;
   let layerCount = 0;
   delta.forEach((row, layer) => {
-    const layerWeights = weights[layer] ?? [];
+    const decayedRow = decayedCounts[layer] ?? [];
     const deltaTotal = sumRow(row);
-    const weightTotal = sumRow(layerWeights);
-    if (deltaTotal === 0 || weightTotal === 0) return;
+    const decayedTotal = sumRow(decayedRow);
+    if (deltaTotal === 0 || decayedTotal === 0) return;
     layerCount += 1;
     row.forEach((count, expert) => {
-      const share = layerWeights[expert]! / weightTotal;
+      const share = decayedRow[expert]! / decayedTotal;
       error += Math.abs(count / deltaTotal - share) / 2;
-      const variance = share * (1 - share) * (1 / deltaTotal + 1 / weightTotal);
+      const variance = share * (1 - share) *
+        (1 / deltaTotal + 1 / decayedTotal);
       noise += meanAbsoluteDeviationRatio * Math.sqrt(variance) / 2;
     });
   });
--- a/packages/coordination/src/maps/rank_orders.ts
+++ b/packages/coordination/src/maps/rank_orders.ts
@@ -15,6 +15,7 @@
   readonly rank: number;
   /** Rises each time the group reopens; state of older epochs is void. */
   readonly epoch: number;
+  /** False while the group is broken: no order can take effect then. */
   readonly isOpen: boolean;
   /** Number of the last pass that has begun. */
   readonly step: number;
--- a/packages/coordination/src/maps/round_leader.ts
+++ b/packages/coordination/src/maps/round_leader.ts
@@ -12,7 +12,7 @@
   /** Id of the leader in the record; generated at each start. */
   readonly leader: string;
   readonly rankCount: number;
-  /** Steps from the most advanced rank to the step of a switch. */
+  /** Steps from the next step of the most advanced rank to the switch. */
   readonly marginSteps: number;
   /** Map of a group that has no record yet. */
   readonly initial: mapSchedule.VersionedMap;
@@ -37,9 +37,11 @@
   /** Number of the call to the object API whose answer is awaited. */
   readonly call: number;
   readonly record: roundMessages.MapRecord | undefined;
+  /** Version of the record in the object API, not of a map. */
   readonly version: number;
   /** Map that this round switches to. */
   readonly proposal: mapSchedule.VersionedMap["map"] | undefined;
+  /** First step that uses the proposed map. */
   readonly step: number | undefined;
   /** Latest report of each rank; in a round only those of its epoch. */
   readonly reports: Reports;
@@ -59,7 +61,7 @@
     readonly call: number;
     readonly version: number;
   }
-  /** The condition did not hold. */
+  /** The condition of the write was not met. */
   | { readonly kind: "conflict"; readonly call: number }
   /** The call definitely had no effect. */
   | { readonly kind: "unavailable"; readonly call: number }
@@ -85,7 +87,7 @@
     readonly version: number;
     readonly step: number;
   }
-  /** All ranks are on the recorded schedule; nothing was proposed. */
+  /** All ranks are on the recorded schedule; no map was proposed. */
   | { readonly kind: "settled" }
   | { readonly kind: "aborted"; readonly reason: string }
   /** A newer epoch has been claimed; this leader ends its round. */
@@ -111,7 +113,7 @@
   readonly effects: readonly LeaderEffect[];
 }
 
-/** Phases before the write of the decision, in which an abort is final. */
+/** Phases before the write of the decision: no switch can follow an abort. */
 const abortablePhases: readonly LeaderPhase[] = ["staging", "preparing"];
 
 /** Returns the state of a leader that runs no round. */
@@ -198,7 +200,11 @@
   return { state: settling, effects: sendToIncomplete(settling) };
 }
 
-/** If the result of the write is unknown, the next claim finds or fences it. */
+/**
+ * Handles the answer to the write of the decision. If the result of the write is
+ * unknown, the leader claims another epoch: the claim either finds the decision
+ * in the record or fences the write.
+ */
 function receiveDecisionAnswer(
   state: LeaderState,
   answer: StoreAnswer,
@@ -338,7 +344,10 @@
   return state.phase !== "staging" || hasPassedLastSwitch(state, report);
 }
 
-/** A schedule holds one switch, so all ranks must be past the last switch. */
+/**
+ * Returns whether a rank is past the last switch. A schedule has room for one
+ * switch only, so the next switch waits until all ranks are.
+ */
 function hasPassedLastSwitch(
   state: LeaderState,
   report: roundMessages.RankReport,
@@ -362,7 +371,10 @@
   if (report.phase === "recovering") return handleRecoveringRank(state, report);
   if (report.epoch !== epoch) return { state, effects: [] };
   if (report.phase === "refused" && abortablePhases.includes(state.phase)) {
-    return abortRound(state, `Rank ${report.rank} could not take part`);
+    return abortRound(
+      state,
+      `Rank ${report.rank} could not stage the map or hold the step`,
+    );
   }
   return completePhase({
     ...state,
@@ -396,12 +408,12 @@
 }
 
 function sendMissedCommits(reports: Reports): LeaderEffect[] {
-  const knownReports = reports.filter((report) => report !== undefined);
+  const receivedReports = reports.filter((report) => report !== undefined);
   const committedEpochs = new Set(
-    knownReports.filter(({ phase }) => phase === "committed")
+    receivedReports.filter(({ phase }) => phase === "committed")
       .map(({ epoch }) => epoch),
   );
-  return knownReports
+  return receivedReports
     .filter(({ phase, epoch }) =>
       phase === "prepared" && committedEpochs.has(epoch)
     )
@@ -411,6 +423,11 @@
     });
 }
 
+/**
+ * Handles the report of a restarted rank. A rank that has read the record of
+ * this epoch is fenced: it accepts only newer epochs, so the round can't complete
+ * and the leader claims a new epoch.
+ */
 function handleRecoveringRank(
   state: LeaderState,
   report: roundMessages.RankReport,
--- a/packages/coordination/src/maps/round_liveness_test.ts
+++ b/packages/coordination/src/maps/round_liveness_test.ts
@@ -14,7 +14,9 @@
   duplicates: 0,
 };
 
+/** Actions that are applied in the iteration in which they are possible. */
 const immediateKinds = ["finish_staging", "read_record", "answer_read"];
+/** Actions on a write; applied in an iteration after the write was sent. */
 const writeKinds = ["apply_write", "answer_write"];
 
 interface DriveOptions {
@@ -111,7 +113,7 @@
   });
 
   test.each(seeds)(
-    "completes within a few attempts at one third message loss, seed %d",
+    "completes after a few proposals if a third of messages is lost, seed %d",
     (seed) => {
       const model = createModel(12);
       const run = driveSteps({
--- a/packages/coordination/src/maps/round_messages.ts
+++ b/packages/coordination/src/maps/round_messages.ts
@@ -1,10 +1,10 @@
 /**
- * Messages of a switch round that is decided by a record in the object API,
- * unlike the rounds of `switch_round.ts`, which need only the ranks. A leader
- * claims an epoch with a conditional write, settles all ranks on the recorded
- * schedule, has them stage the new map and hold before one step, records the
- * switch with a second conditional write, and only then sends the commit to the
- * ranks.
+ * Messages of a switch round that is decided by a record in the object API (the
+ * external object store), unlike the rounds of `switch_round.ts`, which need
+ * only the ranks. A step is one forward pass of the group. A leader claims an
+ * epoch with a conditional write, settles all ranks on the recorded schedule,
+ * has them stage the new map and hold before one step, records the switch with a
+ * second conditional write, and only then sends the commit to the ranks.
  */
 import type * as mapSchedule from "./map_schedule.ts";
 
@@ -47,7 +47,9 @@
   | "settled"
   | "staging"
   | "staged"
+  /** Has asked its engine to hold before the step. */
   | "holding"
+  /** The engine holds before the step: the rank has made its promise. */
   | "prepared"
   | "committed"
   /** Cannot take part in this epoch's switch. */
--- a/packages/coordination/src/maps/round_rank.ts
+++ b/packages/coordination/src/maps/round_rank.ts
@@ -18,8 +18,11 @@
   readonly phase: roundMessages.RankPhase;
   readonly epoch: number | undefined;
   readonly schedule: mapSchedule.MapSchedule | undefined;
+  /** Map of the switch of this epoch. */
   readonly staged: mapSchedule.VersionedMap | undefined;
+  /** Step before which the rank holds for the decision. */
   readonly step: number | undefined;
+  /** Whether the engine has confirmed the schedule. */
   readonly isInstalled: boolean;
 }
 
@@ -100,7 +103,7 @@
     default:
       return event.epoch === state.epoch
         ? handleRoundEvent(state, event)
-        : { state, effects: isMessage(event) ? [reply] : [] };
+        : { state, effects: isLeaderMessage(event) ? [reply] : [] };
   }
 }
 
@@ -109,7 +112,7 @@
   { readonly kind: "ask" | "settle" | "record_read" | "engine_restarted" }
 >;
 
-function isMessage({ kind }: RoundEvent): boolean {
+function isLeaderMessage({ kind }: RoundEvent): boolean {
   return kind === "stage" || kind === "prepare" || kind === "commit" ||
     kind === "abort";
 }
--- a/packages/coordination/src/maps/round_safety_test.ts
+++ b/packages/coordination/src/maps/round_safety_test.ts
@@ -76,7 +76,8 @@
 ];
 
 /**
- * Advances the round; one settle message to rank 0 stays in flight as a copy.
+ * Whether an action belongs to the setup, which advances the round and leaves a
+ * copy of the settle message to rank 0 in flight.
  */
 function isSetupAction(action: mapRounds.Action): boolean {
   const isSettle = "packet" in action && action.packet.to === "rank" &&
@@ -136,7 +137,7 @@
 interface RandomCheck {
   readonly violation: string | undefined;
   readonly switches: number;
-  /** Also true if a state machine threw an error. */
+  /** True after a violation, or if a state machine threw an error. */
   readonly failed: boolean;
 }
 
--- a/packages/coordination/src/maps/switch_round.ts
+++ b/packages/coordination/src/maps/switch_round.ts
@@ -4,10 +4,11 @@
  * number of leaders may run rounds concurrently, and any order may take effect
  * seconds after it was sent.
  *
- * Invariants that ensure that all ranks use one map in each forward pass:
+ * `rank_orders.ts` describes the orders. Invariants that ensure that all ranks
+ * use one map in each forward pass, for a switch to version V from pass S on:
  *
- * - All ranks have prepared version V before the pass S is held, and S is held
- *   before any rank is armed. No rank begins S until `go`.
+ * - All ranks have prepared V before S is held, and S is held before any rank
+ *   is armed. No rank begins S until `go`.
  * - A version is armed for one pass only, and a leader never holds a pass
  *   twice. A late `arm`, `disarm` or `go` therefore only repeats an earlier
  *   decision.
@@ -39,7 +40,7 @@
    * switch, given the highest number of times that one order of this round was
    * sent.
    */
-  readonly computeLeadPasses: (mostSendAttempts: number) => number;
+  readonly computeLeadPasses: (maxSendCount: number) => number;
   /**
    * Highest pass that this leader may have held, also before a restart; the
    * round holds only passes above it. A process that has no record of earlier
@@ -140,8 +141,8 @@
 export const maxAheadPasses = 12;
 /** Reads of all ranks after which a round gives up; a later round continues. */
 const maxReads = 20;
-/** Attempts to hold a pass; each attempt chooses a pass further ahead. */
-const maxHoldAttempts = 3;
+/** Orders to hold a pass in one round, each for a pass further ahead. */
+const maxHoldOrders = 3;
 
 /**
  * Returns the rank at which a leader holds passes: its own rank only in a group
@@ -164,8 +165,8 @@
   let phase: RoundPhase = "idle";
   let call = 0;
   let reads = 0;
-  let holdAttempts = 0;
-  let mostSendAttempts = 0;
+  let holdOrders = 0;
+  let maxSendCount = 0;
   let version = 0;
   /** Version that was observed as armed before the last read of all ranks. */
   let versionArmedBeforeRead: number | undefined;
@@ -209,7 +210,7 @@
 
   function readRanks(): Effects {
     reads += 1;
-    if (reads > maxReads) return abort("Too many reads without a result");
+    if (reads > maxReads) return abort("Gave up after too many reads of ranks");
     phase = "looking";
     call += 1;
     pending = new Set(ranks);
@@ -251,12 +252,11 @@
   }
 
   function holdPass(): Effects {
-    holdAttempts += 1;
+    holdOrders += 1;
     const latestStep = Math.max(
       ...[...states.values()].map((state) => state.step),
     );
-    const leadPasses = options.computeLeadPasses(mostSendAttempts) *
-      holdAttempts;
+    const leadPasses = options.computeLeadPasses(maxSendCount) * holdOrders;
     step = Math.max(latestStep + leadPasses, step + 1);
     if (step > latestStep + maxAheadPasses) return abort("Pass too far ahead");
     const order = { kind: "hold", step } as const;
@@ -337,11 +337,12 @@
     // though it does not answer.
     if (armed === undefined) return isLeaderRead ? replaceMap() : readRanks();
     version = armed.version;
-    const missing = readStates.filter((state) =>
+    const unready = readStates.filter((state) =>
       !rankOrders.isArmedFor(state, armed) &&
       (state.armed !== undefined || state.preparedVersion !== armed.version)
     );
-    if (missing.length === 0) return isLeaderRead ? armLeader() : armOthers();
+    if (unready.length === 0) return isLeaderRead ? armLeader() : armOthers();
+    // This read may show states from before a rank prepared the version.
     if (armed.version !== versionArmedBeforeRead) {
       versionArmedBeforeRead = armed.version;
       return readRanks();
@@ -379,7 +380,7 @@
       states.set(rank, outcome.state);
     }
     if (outcome.kind !== "done") return handleFailure(outcome.reason);
-    mostSendAttempts = Math.max(mostSendAttempts, outcome.sendings);
+    maxSendCount = Math.max(maxSendCount, outcome.sendings);
     pending.delete(rank);
     return pending.size === 0 ? advancePhase() : [];
   }
@@ -393,7 +394,7 @@
       case "holding":
         // A hold that takes effect late shows in the rank's report, and a later
         // round ends it.
-        return holdAttempts < maxHoldAttempts
+        return holdOrders < maxHoldOrders
           ? holdPass()
           : abort(`Could not hold the pass: ${reason}`);
       case "opening":
--- a/packages/coordination/src/maps/switch_round_test.ts
+++ b/packages/coordination/src/maps/switch_round_test.ts
@@ -99,8 +99,8 @@
     runs: 4,
     steps: 80_000,
     passShare: 0.005,
-    // A switch of 72 ranks takes more steps than pass between two standstills
-    // at the rate of `frequentFaults`.
+    // A switch of 72 ranks takes more steps than lie between two standstills at
+    // the rate of `frequentFaults`.
     faults: { ...frequentFaults, standstill: 0.000_1 },
   },
 ])(
@@ -113,7 +113,7 @@
   },
 );
 
-test("a group with idle periods is safe unless a leader holds a pass twice", () => {
+test("idle periods cause no violation unless a leader holds a pass twice", () => {
   const { firstSeed, count } = idleSeeds;
   expect(runSeeds(count, idlePeriods, firstSeed).violations).toEqual([]);
   const variant = { forgetsHolds: true };
@@ -153,7 +153,7 @@
     variant: { isSent: (order) => order.kind !== "hold" },
   },
   {
-    name: "leaves the lost version prepared",
+    name: "does not replace a version that a rank has lost",
     variant: {
       isSent: (order) =>
         order.kind !== "prepare" ||
@@ -161,7 +161,7 @@
     },
   },
   {
-    name: "continues without a rank other than the rank of the leader",
+    name: "attributes a version to a rank other than its creator",
     variant: { getLeader: (version) => (version + 1) % 3 },
   },
   {
