--- a/packages/anvilhinge/src/adapters/assignment_codec.ts
+++ b/packages/anvilhinge/src/adapters/assignment_codec.ts
@@ -1,11 +1,11 @@
-/** Conversion of assignments: wire, object store and state machines. */
+/** Converts assignments from and to their wire and stored formats. */
 import type * as assignment from "@anvilhinge/coordination/assignment";
 import type * as handover from "@anvilhinge/coordination/handover";
 import * as protobuf from "@bufbuild/protobuf";
 import * as zod from "zod";
 import * as entryPb from "../gen/anvilhinge/v1/entry_pb.ts";
 
-const schema = zod.object({
+const assignmentSchema = zod.object({
   group: zod.string().min(1),
   half: zod.string().min(1),
   epoch: zod.int().positive(),
@@ -13,7 +13,7 @@
   nextHalf: zod.string().min(1).optional(),
 });
 
-const recordSchema = schema.extend({
+const recordSchema = assignmentSchema.extend({
   changeIds: zod.array(zod.string()).readonly().default([]),
 });
 
@@ -24,7 +24,7 @@
 export function parseAssignment(
   value: unknown,
 ): assignment.Assignment | undefined {
-  const result = schema.safeParse(value);
+  const result = assignmentSchema.safeParse(value);
   return result.success ? result.data : undefined;
 }
 
--- a/packages/anvilhinge/src/adapters/direct_client_test.ts
+++ b/packages/anvilhinge/src/adapters/direct_client_test.ts
@@ -188,7 +188,7 @@
   expect(readText(outcome)).toBe("ok");
 });
 
-test("reports an unreachable upstream as unsent", async () => {
+test("reports an attempt at an unreachable upstream as unsent", async () => {
   const outcome = await runAttempt(() => {}, { isDown: true });
   expect(outcome.end).toMatchObject({ kind: "broken", sent: false });
 });
--- a/packages/anvilhinge/src/adapters/elapsed_clock.ts
+++ b/packages/anvilhinge/src/adapters/elapsed_clock.ts
@@ -13,24 +13,27 @@
   readonly readWallMs: () => number;
 }
 
-/** Increases of the wall clock's lead up to this value are drift. */
+/**
+ * Largest increase of the wall clock's lead over the monotonic clock, between
+ * two reads, that counts as drift.
+ */
 const maxDriftMs = 200;
 
 /** Creates a clock that starts at the current time of `clock`. */
 export function createElapsedClock(
   { clock, readWallMs }: ElapsedClockOptions,
 ): clock.Clock {
-  let addedMs = 0;
+  let suspendedMs = 0;
   let leadMs = readWallMs() - clock.now();
 
   return {
     now() {
       const monotonicMs = clock.now();
       const newLeadMs = readWallMs() - monotonicMs;
-      if (newLeadMs > leadMs + maxDriftMs) addedMs += newLeadMs - leadMs;
+      if (newLeadMs > leadMs + maxDriftMs) suspendedMs += newLeadMs - leadMs;
       // Drift and backward steps only update the lead.
       leadMs = newLeadMs;
-      return monotonicMs + addedMs;
+      return monotonicMs + suspendedMs;
     },
   };
 }
--- a/packages/anvilhinge/src/adapters/engine_http.ts
+++ b/packages/anvilhinge/src/adapters/engine_http.ts
@@ -11,7 +11,7 @@
 
 /** Headers that are not forwarded in either direction. */
 const excludedHeaders = new Set([
-  ...httpHeaders.connectionHeaders,
+  ...httpHeaders.hopByHopHeaders,
   "expect",
   "host",
 ]);
--- a/packages/anvilhinge/src/adapters/frame_codec.ts
+++ b/packages/anvilhinge/src/adapters/frame_codec.ts
@@ -1,4 +1,4 @@
-/** Converts messages between wire and state machine formats. */
+/** Converts attempts, frames and seal outcomes to and from wire format. */
 import * as protobuf from "@bufbuild/protobuf";
 import * as agentPb from "../gen/anvilhinge/v1/agent_pb.ts";
 import type * as engine from "../ports/engine.ts";
@@ -48,12 +48,12 @@
 }
 
 function encodeBody(body: frames.FrameBody): agentPb.Frame["body"] {
-  const init = protobuf.create;
+  const create = protobuf.create;
   switch (body.kind) {
     case "accepted":
       return {
         case: "accepted",
-        value: init(agentPb.AcceptedSchema, {
+        value: create(agentPb.AcceptedSchema, {
           incarnation: body.incarnation,
           status: body.head.status,
           headers: encodeHeaders(body.head.headers),
@@ -62,35 +62,35 @@
     case "chunk":
       return {
         case: "chunk",
-        value: init(agentPb.ChunkSchema, { data: body.data }),
+        value: create(agentPb.ChunkSchema, { data: body.data }),
       };
     case "end":
       return {
         case: "end",
-        value: init(agentPb.EndSchema, {
+        value: create(agentPb.EndSchema, {
           frameCount: body.frameCount,
-          load: init(agentPb.LoadReportSchema, body.load),
+          load: create(agentPb.LoadReportSchema, body.load),
         }),
       };
     case "refused":
       return {
         case: "refused",
-        value: init(agentPb.RefusedSchema, {
+        value: create(agentPb.RefusedSchema, {
           reason: reasonToWire[body.reason],
           retryAfterMs: body.retryAfterMs,
-          load: init(agentPb.LoadReportSchema, body.load),
+          load: create(agentPb.LoadReportSchema, body.load),
         }),
       };
     case "failed":
       return {
         case: "failed",
-        value: init(agentPb.FailedSchema, {
+        value: create(agentPb.FailedSchema, {
           message: body.message,
-          load: init(agentPb.LoadReportSchema, body.load),
+          load: create(agentPb.LoadReportSchema, body.load),
         }),
       };
     case "not_held":
-      return { case: "notHeld", value: init(agentPb.NotHeldSchema, {}) };
+      return { case: "notHeld", value: create(agentPb.NotHeldSchema, {}) };
   }
 }
 
@@ -98,7 +98,8 @@
   for (const [name, wire] of Object.entries(reasonToWire)) {
     if (wire === reason) return name as frames.RefusalReason;
   }
-  // An unknown reason from a newer agent is still a refusal before the start.
+  // A reason that only newer agents send still means that the attempt did not
+  // start; `wrong_epoch` stands for any such reason.
   return "wrong_epoch";
 }
 
--- a/packages/anvilhinge/src/adapters/http_headers.ts
+++ b/packages/anvilhinge/src/adapters/http_headers.ts
@@ -1,9 +1,9 @@
-/** Hop-by-hop headers and `Content-Length`. */
+/** Selects the end-to-end headers of a message and adds `Content-Length`. */
 
 export type HeaderPair = readonly [name: string, value: string];
 
 /** Hop-by-hop headers (RFC 9110, section 7.6.1). */
-export const connectionHeaders: ReadonlySet<string> = new Set([
+export const hopByHopHeaders: ReadonlySet<string> = new Set([
   "connection",
   "keep-alive",
   "proxy-connection",
@@ -34,7 +34,7 @@
   for (let index = 0; index + 1 < raw.length; index += 2) {
     const name = raw[index] as string;
     const lower = name.toLowerCase();
-    if (connectionHeaders.has(lower) || declared.has(lower)) continue;
+    if (hopByHopHeaders.has(lower) || declared.has(lower)) continue;
     kept.push([name, raw[index + 1] as string]);
   }
   return kept;
--- a/packages/anvilhinge/src/adapters/instance_list_http_test.ts
+++ b/packages/anvilhinge/src/adapters/instance_list_http_test.ts
@@ -22,7 +22,7 @@
     lagMs: 100,
   });
   const faultSwitch = faults.createFaultSwitch();
-  const list = instanceList.createLocalInstanceList(registry, {
+  const localList = instanceList.createLocalInstanceList(registry, {
     faults: faultSwitch,
   });
   registry.register(instance);
@@ -36,9 +36,9 @@
   scheduler.advance(50);
   expect(registry.list()).toEqual([{ ...instance, state: "leaving" }]);
   scheduler.advance(50);
-  expect(await list.list()).toEqual({ kind: "listed", instances: [] });
+  expect(await localList.list()).toEqual({ kind: "listed", instances: [] });
   faultSwitch.set({ kind: "down" });
-  expect((await list.list()).kind).toBe("unavailable");
+  expect((await localList.list()).kind).toBe("unavailable");
 });
 
 test("lists instances that were registered over HTTP", async () => {
--- a/packages/anvilhinge/src/adapters/json_lines.ts
+++ b/packages/anvilhinge/src/adapters/json_lines.ts
@@ -1,7 +1,7 @@
 /** Parsing of JSON texts, and of streams with one value per line. */
 import type * as zod from "zod";
 
-/** Returns undefined if the text is not JSON or does not match the schema. */
+/** Parses JSON; undefined if it is invalid or does not match the schema. */
 export function parseJson<Value>(
   text: string,
   schema: zod.ZodType<Value>,
--- a/packages/anvilhinge/src/adapters/object_store_http.ts
+++ b/packages/anvilhinge/src/adapters/object_store_http.ts
@@ -48,6 +48,7 @@
   | {
     readonly kind: "answered";
     readonly status: number;
+    /** Value of the `ETag` header; empty if it is missing. */
     readonly tag: string;
     readonly text: string;
   }
--- a/packages/anvilhinge/src/adapters/object_store_http_test.ts
+++ b/packages/anvilhinge/src/adapters/object_store_http_test.ts
@@ -69,7 +69,7 @@
     expect(api.read("k")).toEqual({ kind: "missing" });
   });
 
-  test("distinguishes a lost answer from a refusal", async () => {
+  test("distinguishes a write whose answer was lost from a refused write", async () => {
     const { api, faultSwitch, store } = await start();
     faultSwitch.set({ kind: "answer_lost" }, { callCount: 1 });
     expect((await store.write("k", 1, { ifVersion: 0 })).kind).toBe("unknown");
--- a/packages/anvilhinge/src/adapters/order_codec.ts
+++ b/packages/anvilhinge/src/adapters/order_codec.ts
@@ -7,7 +7,7 @@
 type Order = fencing.FencedOrder<engineOrders.EngineOrder>;
 type Answer = fencing.OrderAnswer<engineOrders.EngineState>;
 
-/** Decodes an order; undefined if it contains none. */
+/** Decodes a request; undefined if it contains no order of a known kind. */
 export function decodeOrder(wire: ordersPb.OrderRequest): Order | undefined {
   const order = decodeBody(wire.order);
   if (order === undefined) return undefined;
--- a/packages/anvilhinge/src/agent/assignment_follower.ts
+++ b/packages/anvilhinge/src/agent/assignment_follower.ts
@@ -33,11 +33,11 @@
   const followed = new Set<string>();
 
   function chooseEntry(): string | undefined {
-    const members = options.listEntries()
+    const candidates = options.listEntries()
       .filter((address) => !followed.has(address))
       .map((address) => ({ id: address }));
     const key = `${options.group}/${options.rank}`;
-    return rendezvous.selectMembers(members, { key, count: 1 })[0]?.id;
+    return rendezvous.selectMembers(candidates, { key, count: 1 })[0]?.id;
   }
 
   async function followEntry(address: string): Promise<void> {
--- a/packages/anvilhinge/src/agent/attempts.ts
+++ b/packages/anvilhinge/src/agent/attempts.ts
@@ -10,7 +10,10 @@
 import * as frameLogs from "./frame_logs.ts";
 import * as startGuard from "./start_guard.ts";
 
-/** Receives the frames of one attempt in order. */
+/**
+ * Receives the frames of one attempt in order, for one follower: an entry that
+ * reads the attempt.
+ */
 export type FrameSink = (frame: frames.Frame) => void;
 
 export interface AttemptsOptions {
@@ -29,10 +32,10 @@
    * Maximum size of the frames retained for resumes, in bytes.
    * @default 8388608
    */
-  readonly heldLimitBytes?: number;
+  readonly retainedLimitBytes?: number;
   /**
-   * Time after which a repeatable attempt without a follower is an orphan, in
-   * milliseconds.
+   * Time after the loss of the last follower, or after the deadline, at which a
+   * repeatable attempt becomes an orphan, in milliseconds.
    * @default 10000
    */
   readonly orphanGraceMs?: number;
@@ -111,11 +114,11 @@
   /** Counts the finished attempts whose last frame no follower received. */
   countUndelivered(): number;
   /** Returns the size of the retained frames, in bytes. */
-  countHeldBytes(): number;
+  countRetainedBytes(): number;
 }
 
 const defaultRetentionMs = 60_000;
-const defaultHeldLimitBytes = 8 * 1024 * 1024;
+const defaultRetainedLimitBytes = 8 * 1024 * 1024;
 const defaultOrphanGraceMs = 10_000;
 const defaultMaxRunning = 256;
 const defaultOverloadRetryMs = 500;
@@ -127,7 +130,7 @@
   const maxRunning = options.maxRunning ?? defaultMaxRunning;
   const trackedAttempts = new Map<string, TrackedAttempt>();
   const logs = frameLogs.createFrameLogs({
-    limitBytes: options.heldLimitBytes ?? defaultHeldLimitBytes,
+    limitBytes: options.retainedLimitBytes ?? defaultRetainedLimitBytes,
   });
   const guard = startGuard.createStartGuard({
     clock: options.clock,
@@ -361,6 +364,6 @@
       [...trackedAttempts.values()].filter((tracked) =>
         tracked.state === "finished" && !tracked.isDelivered
       ).length,
-    countHeldBytes: () => logs.countBytes(),
+    countRetainedBytes: () => logs.countBytes(),
   };
 }
--- a/packages/anvilhinge/src/agent/attempts_test.ts
+++ b/packages/anvilhinge/src/agent/attempts_test.ts
@@ -5,7 +5,7 @@
 const incarnation = "i1";
 const load = { running: 0, queued: 0, stepUs: 0 };
 
-function createAgent(options: Partial<attempts.AttemptsOptions> = {}) {
+function createHarness(options: Partial<attempts.AttemptsOptions> = {}) {
   const manualClock = clock.createManualClock();
   const agentAttempts = attempts.createAttempts({
     clock: manualClock,
@@ -53,7 +53,7 @@
 };
 
 test("a duplicate call never starts an attempt again, however late", () => {
-  const { manualClock, agentAttempts, sink } = createAgent();
+  const { manualClock, agentAttempts, sink } = createHarness();
   expect(agentAttempts.offer(buildAttempt(), sink)).toEqual({ kind: "start" });
   agentAttempts.receiveEvent("a1", { kind: "end" });
   for (let elapsedMs = 0; elapsedMs < 300_000; elapsedMs += 1_000) {
@@ -64,7 +64,7 @@
 });
 
 test("a duplicate of a refused call does not start the attempt later", () => {
-  const { manualClock, agentAttempts, received, sink } = createAgent({
+  const { manualClock, agentAttempts, received, sink } = createHarness({
     maxRunning: 1,
   });
   agentAttempts.offer(buildAttempt({ attemptId: "a0" }), sink);
@@ -80,7 +80,7 @@
 });
 
 test("a sealed attempt stays sealed until its start time has passed", () => {
-  const { manualClock, agentAttempts, sink } = createAgent();
+  const { manualClock, agentAttempts, sink } = createHarness();
   expect(agentAttempts.seal(sealRequest)).toBe("sealed");
   for (let elapsedMs = 0; elapsedMs < 120_000; elapsedMs += 500) {
     expect(agentAttempts.offer(buildAttempt(), sink)).toEqual({
@@ -92,7 +92,7 @@
 });
 
 test("sealing a finished attempt after its retention returns unknown", () => {
-  const { manualClock, agentAttempts, sink } = createAgent();
+  const { manualClock, agentAttempts, sink } = createHarness();
   agentAttempts.offer(buildAttempt(), sink);
   agentAttempts.receiveEvent("a1", { kind: "end" });
   expect(agentAttempts.seal(sealRequest)).toBe("finished");
@@ -102,7 +102,7 @@
 });
 
 test("a restarted agent refuses calls for its previous incarnation", () => {
-  const { agentAttempts, received, sink } = createAgent();
+  const { agentAttempts, received, sink } = createHarness();
   for (const other of ["i0", ""]) {
     agentAttempts.offer(buildAttempt({ incarnation: other }), sink);
     expect(received.at(-1)?.body).toMatchObject({
@@ -116,22 +116,22 @@
 });
 
 test("a start time beyond the window is refused", () => {
-  const { agentAttempts, received, sink } = createAgent();
+  const { agentAttempts, received, sink } = createHarness();
   const startByMs = frames.startWindowMs + 1;
   agentAttempts.offer(buildAttempt({ startByMs }), sink);
   expect(received.at(-1)?.body).toMatchObject({ reason: "expired" });
 });
 
 test("a cancel that arrives before its call prevents the start", () => {
-  const { agentAttempts, sink } = createAgent();
+  const { agentAttempts, sink } = createHarness();
   agentAttempts.cancel("a1");
   expect(agentAttempts.offer(buildAttempt(), sink)).toEqual({
     kind: "refused",
   });
 });
 
-test("non-repeatable work is neither cancelled nor an orphan", () => {
-  const { manualClock, agentAttempts, sink } = createAgent();
+test("a non-repeatable attempt without a follower is neither cancelled nor an orphan", () => {
+  const { manualClock, agentAttempts, sink } = createHarness();
   agentAttempts.offer(buildAttempt(), sink);
   agentAttempts.offer(
     buildAttempt({ attemptId: "a2", isRepeatable: true }),
@@ -144,8 +144,8 @@
   expect(agentAttempts.expire()).toEqual(["a2"]);
 });
 
-test("work past its deadline is an orphan despite an open connection", () => {
-  const { manualClock, agentAttempts, sink } = createAgent();
+test("a followed attempt is an orphan once its deadline and grace period have passed", () => {
+  const { manualClock, agentAttempts, sink } = createHarness();
   agentAttempts.offer(buildAttempt({ isRepeatable: true }), sink);
   manualClock.advance(14_999);
   expect(agentAttempts.expire()).toEqual([]);
@@ -154,15 +154,22 @@
 });
 
 test("a different workspace or request cannot follow an attempt", () => {
-  const { agentAttempts, received, sink } = createAgent();
+  const { agentAttempts, received, sink } = createHarness();
   agentAttempts.offer(buildAttempt(), () => {});
   agentAttempts.receiveEvent("a1", {
     kind: "data",
     data: Buffer.from("secret"),
   });
-  const own = { requestId: "r1", workspace: "w", fromSequence: 0 };
-  agentAttempts.resume({ ...own, attemptId: "a1", workspace: "other" }, sink);
-  agentAttempts.resume({ ...own, attemptId: "a1", requestId: "r2" }, sink);
+  const resumeRequest = { requestId: "r1", workspace: "w", fromSequence: 0 };
+  agentAttempts.resume({
+    ...resumeRequest,
+    attemptId: "a1",
+    workspace: "other",
+  }, sink);
+  agentAttempts.resume(
+    { ...resumeRequest, attemptId: "a1", requestId: "r2" },
+    sink,
+  );
   agentAttempts.offer(buildAttempt({ requestId: "r2" }), sink);
   expect(received.map((frame) => frame.body.kind)).toEqual([
     "not_held",
@@ -171,9 +178,11 @@
   ]);
 });
 
-test("frames stay within the limit, finished answers are evicted first", () => {
-  const heldLimitBytes = 100_000;
-  const { agentAttempts, received, sink } = createAgent({ heldLimitBytes });
+test("retained frames stay within the limit, and those of finished attempts are evicted first", () => {
+  const retainedLimitBytes = 100_000;
+  const { agentAttempts, received, sink } = createHarness({
+    retainedLimitBytes,
+  });
   const data = new Uint8Array(10_000);
   for (const attemptId of ["a1", "a2", "a3"]) {
     agentAttempts.offer(
@@ -182,21 +191,24 @@
     );
     for (let count = 0; count < 6; count += 1) {
       agentAttempts.receiveEvent(attemptId, { kind: "data", data });
-      expect(agentAttempts.countHeldBytes()).toBeLessThanOrEqual(
-        heldLimitBytes,
+      expect(agentAttempts.countRetainedBytes()).toBeLessThanOrEqual(
+        retainedLimitBytes,
       );
     }
     if (attemptId === "a1") agentAttempts.receiveEvent("a1", { kind: "end" });
   }
-  const own = { requestId: "r1", workspace: "w", fromSequence: 0 };
-  agentAttempts.resume({ ...own, attemptId: "a1" }, sink);
+  const resumeRequest = { requestId: "r1", workspace: "w", fromSequence: 0 };
+  agentAttempts.resume({ ...resumeRequest, attemptId: "a1" }, sink);
   expect(received.at(-1)?.body.kind).toBe("not_held");
-  agentAttempts.resume({ ...own, attemptId: "a3", fromSequence: 5 }, sink);
+  agentAttempts.resume(
+    { ...resumeRequest, attemptId: "a3", fromSequence: 5 },
+    sink,
+  );
   expect(received.at(-1)).toMatchObject({ attemptId: "a3", sequence: 5 });
 });
 
 test("a stopping agent counts the answers that are not delivered", () => {
-  const { agentAttempts, sink } = createAgent();
+  const { agentAttempts, sink } = createHarness();
   agentAttempts.offer(buildAttempt(), sink);
   agentAttempts.stop();
   agentAttempts.receiveEvent("a1", { kind: "end" });
--- a/packages/anvilhinge/src/agent/drained_reporter.ts
+++ b/packages/anvilhinge/src/agent/drained_reporter.ts
@@ -2,7 +2,7 @@
  * Reports to entries that a rank of a leaving group is drained: the agent has
  * received the leaving assignment, under which it admits no work, and runs no
  * attempt. The report is repeated until the next assignment arrives, because
- * the entry in charge keeps no state and may be replaced.
+ * the entry in charge of the group's move keeps no state and may be replaced.
  */
 import type * as random from "@anvilhinge/coordination/random";
 import * as rendezvous from "@anvilhinge/coordination/rendezvous";
@@ -25,7 +25,7 @@
   readonly attempts: Pick<attempts.Attempts, "getAssignment" | "countRunning">;
   /** Lists the control addresses of entries. */
   readonly listEntries: () => readonly string[];
-  /** Resolves to whether the report reached the entry in charge. */
+  /** Resolves to whether the report reached the entry in charge of the move. */
   readonly send: (address: string, report: DrainedReport) => Promise<boolean>;
   readonly scheduler: scheduler.Scheduler;
   readonly random: random.RandomSource;
@@ -39,7 +39,7 @@
 /** Checks for a drained rank and reports it until the signal aborts. */
 export function startReporter(options: ReporterOptions): void {
   const { group, rank, incarnation, attempts } = options;
-  let failures = 0;
+  let failureCount = 0;
 
   function buildReport(): DrainedReport | undefined {
     const current = attempts.getAssignment();
@@ -49,7 +49,10 @@
     return { group, rank, incarnation, epoch: current.epoch };
   }
 
-  /** Selects the next entry in the order of this rank after each failure. */
+  /**
+   * Selects an entry by the rendezvous order for this rank; each failed report
+   * moves the selection to the next entry.
+   */
   function selectEntry(): string | undefined {
     const members = options.listEntries().map((address) => ({ id: address }));
     const key = `${group}/${rank}`;
@@ -57,14 +60,14 @@
       key,
       count: members.length,
     });
-    return order[failures % Math.max(1, order.length)]?.id;
+    return order[failureCount % Math.max(1, order.length)]?.id;
   }
 
   async function sendReport(report: DrainedReport): Promise<boolean> {
     const address = selectEntry();
     if (address === undefined) return false;
     const isAccepted = await options.send(address, report);
-    failures = isAccepted ? failures : failures + 1;
+    failureCount = isAccepted ? failureCount : failureCount + 1;
     return isAccepted;
   }
 
--- a/packages/anvilhinge/src/agent/entry_client.ts
+++ b/packages/anvilhinge/src/agent/entry_client.ts
@@ -31,7 +31,7 @@
     } catch {
       return false;
     } finally {
-      // Reports are rare; open connections would link every rank to entries.
+      // Reports are rare; without this, every rank would keep connections open.
       sessionManager.abort();
     }
   };
--- a/packages/anvilhinge/src/agent/mod.ts
+++ b/packages/anvilhinge/src/agent/mod.ts
@@ -204,7 +204,7 @@
       components.orders.raiseEpoch(received.epoch);
     },
   });
-  const shared = {
+  const commonOptions = {
     group: settings.group,
     rank: settings.rank,
     incarnation: components.incarnation,
@@ -214,12 +214,12 @@
     signal,
   };
   drainedReporter.startReporter({
-    ...shared,
+    ...commonOptions,
     attempts,
     send: entryClient.createReportSender({ signal }),
   });
   assignmentFollower.followAssignment({
-    ...shared,
+    ...commonOptions,
     onAssignment: gate.receive,
     onDisconnect: (entry) =>
       logger.warnOnce(entry, `Assignment stream from entry ${entry} ended`),
--- a/packages/anvilhinge/src/agent/orders.ts
+++ b/packages/anvilhinge/src/agent/orders.ts
@@ -1,8 +1,8 @@
 /**
  * Passes orders to the engine beside the agent through the fencing gate, whose
- * effects are executed here. The gate's floor is read from the object store:
- * the epoch from the group's assignment, the fencing number from the lease of
- * the owner's duty.
+ * effects are executed here. The gate's floor, the lowest term that it accepts,
+ * is read from the object store: the epoch from the group's assignment, the
+ * fencing number from the lease that covers the duty to control the group.
  */
 import * as fencing from "@anvilhinge/coordination/fencing";
 import * as leaseRecord from "@anvilhinge/coordination/lease_record";
@@ -68,6 +68,7 @@
     engineOrders.EngineOrder,
     engineOrders.EngineState
   >({ checksFencing: options.checksFencing, settleMs: options.settleMs });
+  /** Callbacks by order id; an order that was submitted again has several. */
   const pendingCallbacks = new Map<string, ((answer: OrderAnswer) => void)[]>();
 
   async function execute(effect: Effect): Promise<void> {
--- a/packages/anvilhinge/src/agent/routed_agent.ts
+++ b/packages/anvilhinge/src/agent/routed_agent.ts
@@ -58,6 +58,7 @@
     scheduler: clock,
     signal,
   });
+  // The address at which the other agents reach this agent.
   const ownAddress = hostPort.parseAddress(settings.peers);
   let addresses: readonly string[] = [];
   let spec: rankAgent.GroupSpec | undefined;
--- a/packages/anvilhinge/src/agent/service.ts
+++ b/packages/anvilhinge/src/agent/service.ts
@@ -40,6 +40,7 @@
 
 /** Creates the agent's connect-es service. */
 export function createAgentService(options: AgentServiceOptions): AgentService {
+  /** Abort controllers of the running engine work, by attempt id. */
   const running = new Map<string, AbortController>();
   let streamCount = 0;
 
@@ -48,7 +49,7 @@
     running.set(attempt.attemptId, abort);
     const work = attempt.work;
     const spans = startSpans(attempt, headers);
-    const deliver = createDelivery((event) =>
+    const deliver = createEventForwarder((event) =>
       options.attempts.receiveEvent(attempt.attemptId, event)
     );
     options.engine.start({
@@ -81,24 +82,24 @@
     };
     const parent = tracing.extractContext(Object.fromEntries(headers));
     const kind = api.SpanKind.SERVER;
-    const agent = tracer.startSpan("agent", { kind, attributes }, parent);
-    const engine = tracer.startSpan(
+    const agentSpan = tracer.startSpan("agent", { kind, attributes }, parent);
+    const engineSpan = tracer.startSpan(
       "engine",
       { kind: api.SpanKind.CLIENT, attributes },
-      api.trace.setSpan(parent, agent),
+      api.trace.setSpan(parent, agentSpan),
     );
     const traceHeaders = tracing.injectContext(
-      api.trace.setSpan(parent, engine),
+      api.trace.setSpan(parent, engineSpan),
     );
     return {
       headers: traceHeaders as Readonly<Record<string, string>>,
       end(event) {
         if (event.kind === "failed") {
           const code = api.SpanStatusCode.ERROR;
-          engine.setStatus({ code, message: event.message });
+          engineSpan.setStatus({ code, message: event.message });
         }
-        engine.end();
-        agent.end();
+        engineSpan.end();
+        agentSpan.end();
       },
     };
   }
@@ -146,7 +147,9 @@
       run(request, context) {
         const attempt = frameCodec.decodeAttempt(request);
         if (attempt === undefined) {
-          throw new TypeError(`Attempt "${request.attemptId}" names no work`);
+          throw new TypeError(
+            `Attempt "${request.attemptId}" contains no work`,
+          );
         }
         return streamFrames(attempt.attemptId, (sink) => {
           const outcome = options.attempts.offer(attempt, sink);
@@ -192,7 +195,7 @@
 }
 
 /** Forwards events; splits the data of event streams at event boundaries. */
-function createDelivery(
+function createEventForwarder(
   deliver: (event: engine.EngineEvent) => void,
 ): (event: engine.EngineEvent) => void {
   let splitter: eventSplitter.EventSplitter | undefined;
--- a/packages/anvilhinge/src/agent/start_guard.ts
+++ b/packages/anvilhinge/src/agent/start_guard.ts
@@ -39,7 +39,9 @@
 export function createStartGuard(options: StartGuardOptions): StartGuard {
   if (options.retentionMs < 2 * frames.startWindowMs) {
     throw new RangeError(
-      `Retention must be at least ${2 * frames.startWindowMs} ms`,
+      `Retention of finished attempts must be at least ${
+        2 * frames.startWindowMs
+      } ms`,
     );
   }
   const forbiddenStartByMs = new Map<string, number>();
--- a/packages/anvilhinge/src/entry/session/agent_client.ts
+++ b/packages/anvilhinge/src/entry/session/agent_client.ts
@@ -69,7 +69,7 @@
 
 const defaultCallTimeoutMs = 1_000;
 const idleConnectionTimeoutMs = 60_000;
-const refusedConnectionCodes: readonly string[] = [
+const connectionFailureCodes: readonly string[] = [
   "ECONNREFUSED",
   "EHOSTUNREACH",
   "ENETUNREACH",
@@ -118,7 +118,11 @@
     } catch (error) {
       if (stream.signal.aborted) return;
       const message = error instanceof Error ? error.message : String(error);
-      stream.onEnd({ kind: "broken", sent: !isConnectRefused(error), message });
+      stream.onEnd({
+        kind: "broken",
+        sent: !isConnectionFailure(error),
+        message,
+      });
     }
   }
 
@@ -162,12 +166,12 @@
   };
 }
 
-/** True when the connection was refused, so that no request left this node. */
-function isConnectRefused(error: unknown): boolean {
+/** True when no connection was opened, so that no request left this node. */
+function isConnectionFailure(error: unknown): boolean {
   let cause = error;
   while (cause instanceof Error) {
     const code = (cause as NodeJS.ErrnoException).code;
-    if (refusedConnectionCodes.includes(String(code))) return true;
+    if (connectionFailureCodes.includes(String(code))) return true;
     cause = cause.cause;
   }
   return false;
--- a/packages/anvilhinge/src/entry/session/answer_buffer.ts
+++ b/packages/anvilhinge/src/entry/session/answer_buffer.ts
@@ -20,12 +20,12 @@
   /** Discards undelivered parts, for the answer of another attempt. */
   restart(): void;
   /**
-   * Adds a part and returns the parts to deliver now. `isHeld` buffers the part
-   * even if the answer is streamed.
+   * Adds a part and returns the parts to deliver now. `isBuffered` buffers the
+   * part even if the answer is streamed.
    */
   add(
     part: Part,
-    options?: { readonly isHeld: boolean },
+    options?: { readonly isBuffered: boolean },
   ): readonly Part[];
   /** Removes and returns all buffered parts. */
   takeAll(): readonly Part[];
@@ -52,13 +52,13 @@
       parts = [];
       bufferedBytes = 0;
     },
-    add(part, { isHeld } = { isHeld: false }) {
+    add(part, { isBuffered } = { isBuffered: false }) {
       parts.push(part);
       // The head is buffered until the first data arrives, so that an attempt
       // that fails before then can be retried at another upstream.
       if (part.kind === "head") return [];
       bufferedBytes += part.data.byteLength;
-      const isStreamed = options.isStreamed && !isHeld;
+      const isStreamed = options.isStreamed && !isBuffered;
       const isDue = isStreamed || hasDelivered ||
         bufferedBytes > options.limitBytes;
       return isDue ? takeAll() : [];
--- a/packages/anvilhinge/src/entry/session/claim_store.ts
+++ b/packages/anvilhinge/src/entry/session/claim_store.ts
@@ -35,7 +35,7 @@
 
 /** Creates a claim store; a shard gets its committer on first use. */
 export function createClaimStore(options: ClaimStoreOptions): ClaimStore {
-  const shards = new Map<
+  const shardFeeds = new Map<
     string,
     (event: claimCommitter.CommitterEvent) => void
   >();
@@ -102,8 +102,8 @@
         name,
         options.shardCount,
       );
-      const feed = shards.get(key) ?? createShardFeed(key);
-      shards.set(key, feed);
+      const feed = shardFeeds.get(key) ?? createShardFeed(key);
+      shardFeeds.set(key, feed);
       const operationId = nextOperationId++;
       return new Promise((resolve) => {
         pendingResults.set(operationId, resolve);
--- a/packages/anvilhinge/src/entry/session/claim_store_test.ts
+++ b/packages/anvilhinge/src/entry/session/claim_store_test.ts
@@ -16,7 +16,7 @@
     faults: storeFaults,
     scheduler,
   });
-  const createEntry = () =>
+  const createEntryStore = () =>
     claimStore.createClaimStore({
       store,
       scheduler,
@@ -25,7 +25,7 @@
       half,
       shardCount: 1,
     });
-  return { scheduler, api, storeFaults, createEntry };
+  return { scheduler, api, storeFaults, createEntryStore };
 }
 
 function createClaim(attemptId: string, requestId = "r1"): claims.NewClaim {
@@ -57,10 +57,10 @@
 }
 
 test("only one of two entries that claim a call concurrently succeeds", async () => {
-  const { scheduler, createEntry } = createHarness();
+  const { scheduler, createEntryStore } = createHarness();
   const outcome = Promise.all([
-    submitClaim(createEntry(), "a1"),
-    submitClaim(createEntry(), "a2"),
+    submitClaim(createEntryStore(), "a1"),
+    submitClaim(createEntryStore(), "a2"),
   ]);
   await scheduler.advanceAsync(1_000);
   expect((await outcome).map((result) => result.kind).sort()).toEqual([
@@ -70,8 +70,8 @@
 });
 
 test("concurrent claims are batched into one write", async () => {
-  const { scheduler, api, createEntry } = createHarness();
-  const store = createEntry();
+  const { scheduler, api, createEntryStore } = createHarness();
+  const store = createEntryStore();
   const outcome = Promise.all(
     Array.from(
       { length: 100 },
@@ -85,9 +85,9 @@
   expect(api.getCallCounts().write).toBeLessThanOrEqual(2);
 });
 
-test("a claim during a store outage fails immediately and is not stored", async () => {
-  const { scheduler, storeFaults, createEntry } = createHarness();
-  const store = createEntry();
+test("a claim during an outage of the object store fails immediately and is not stored", async () => {
+  const { scheduler, storeFaults, createEntryStore } = createHarness();
+  const store = createEntryStore();
   storeFaults.set({ kind: "down" });
   const result = submitClaim(store, "a1");
   await scheduler.advanceAsync(0);
@@ -100,8 +100,8 @@
 });
 
 test("a write whose response was lost is resolved by reading the shard", async () => {
-  const { scheduler, storeFaults, api, createEntry } = createHarness();
-  const store = createEntry();
+  const { scheduler, storeFaults, api, createEntryStore } = createHarness();
+  const store = createEntryStore();
   await Promise.all([submitClaim(store, "a0", "r0")]);
   await scheduler.advanceAsync(1_000);
   storeFaults.set({ kind: "answer_lost" }, { callCount: 1 });
@@ -112,8 +112,8 @@
 });
 
 test("a delayed write cannot restore a claim that was settled as not run", async () => {
-  const { scheduler, storeFaults, createEntry } = createHarness();
-  const store = createEntry();
+  const { scheduler, storeFaults, createEntryStore } = createHarness();
+  const store = createEntryStore();
   await submitClaim(store, "a0", "r0");
   await scheduler.advanceAsync(1_000);
   // The write is reported as failed and takes effect later; the store is
@@ -138,7 +138,7 @@
   expect(await settled).toEqual({ kind: "settled" });
   await scheduler.advanceAsync(60_000);
   const name = { workspace: "w", requestId: "r1" };
-  const found = findClaim(createEntry(), name);
+  const found = findClaim(createEntryStore(), name);
   await scheduler.advanceAsync(1_000);
   expect(await found).toMatchObject({
     claim: { attemptId: "a1", state: { kind: "not_run" } },
@@ -152,9 +152,9 @@
   return store.submit({ kind: "find", name });
 }
 
-test("a settle operation is retried until the store is available again", async () => {
-  const { scheduler, storeFaults, createEntry } = createHarness();
-  const store = createEntry();
+test("a settle operation is retried until the object store is available again", async () => {
+  const { scheduler, storeFaults, createEntryStore } = createHarness();
+  const store = createEntryStore();
   await submitClaim(store, "a1");
   storeFaults.set({ kind: "down" });
   const name = { workspace: "w", requestId: "r1" };
@@ -170,7 +170,7 @@
   storeFaults.set({ kind: "none" });
   await scheduler.advanceAsync(3_000);
   await settled;
-  const found = createEntry().submit({ kind: "find", name });
+  const found = createEntryStore().submit({ kind: "find", name });
   await scheduler.advanceAsync(1_000);
   expect(await found).toMatchObject({ claim: { state: { answer } } });
 });
--- a/packages/anvilhinge/src/entry/session/event_assembler.ts
+++ b/packages/anvilhinge/src/entry/session/event_assembler.ts
@@ -18,7 +18,7 @@
   push(data: Uint8Array): PushOutcome;
   /** Whether bytes of an incomplete event remain. */
   hasIncompleteEvent(): boolean;
-  /** Id of the last event that was delivered now or in an earlier answer. */
+  /** Id of the last event delivered in this answer or an earlier answer. */
   getLastId(): string | undefined;
 }
 
--- a/packages/anvilhinge/src/entry/session/runner.ts
+++ b/packages/anvilhinge/src/entry/session/runner.ts
@@ -19,6 +19,7 @@
   ): void;
   data(data: Uint8Array, sequence: number): void;
   end(): void;
+  /** Receives the final result when the answer can't be completed. */
   answer(final: session.FinalAnswer): void;
 }
 
@@ -50,8 +51,8 @@
   ) => void;
   readonly onDrop?: () => void;
   /**
-   * Called with the function that feeds events to the session, for decisions on
-   * a waiting request.
+   * Called with the function that feeds events to the session, for the
+   * `granted` and `denied` events of a waiting request.
    */
   readonly onFeedReady?: (feed: (event: session.SessionEvent) => void) => void;
 }
--- a/packages/anvilhinge/src/entry/session/runner_direct_test.ts
+++ b/packages/anvilhinge/src/entry/session/runner_direct_test.ts
@@ -38,9 +38,9 @@
       clock: scheduler,
       readWallMs: () => 0,
       createAttemptId: () => `a${++attempts}`,
-      chooseUpstream: (tried) => ({
+      chooseUpstream: (attemptedIds) => ({
         kind: "chosen",
-        upstream: sessionDriver.createUpstream(tried.size),
+        upstream: sessionDriver.createUpstream(attemptedIds.size),
       }),
       takeRetry: () => true,
       maxAttempts: 2,
--- a/packages/anvilhinge/src/entry/session/session.ts
+++ b/packages/anvilhinge/src/entry/session/session.ts
@@ -34,6 +34,8 @@
   function startFirstAttempt(): Effects {
     const resumePoint = options.resumePoint;
     if (resumePoint === undefined) return startNextAttempt();
+    // The resumed answer was partly delivered by another entry, so no other
+    // attempt may replace the resumed attempt.
     shared.attempts = maxAttempts;
     shared.ran = "yes";
     shared.current = {
@@ -82,7 +84,7 @@
     ];
   }
 
-  /** Records that the attempt of a claim that is being written will not run. */
+  /** Records an attempt as not run if its claim is still being written. */
   function settleUnsent(
     { phase, attemptId }: attemptState.AttemptState,
   ): Effects {
--- a/packages/anvilhinge/src/entry/session/session_claims.ts
+++ b/packages/anvilhinge/src/entry/session/session_claims.ts
@@ -21,7 +21,8 @@
 
 /** Age below which another entry is assumed to be processing the claim. */
 const activeClaimMaxAgeMs = 2_000;
-const claimRetryMs = 1_000;
+/** Retry delay advised to the caller after a claim was not obtained. */
+const claimRetryAfterMs = 1_000;
 
 /** Creates the handlers that operate on the given session core. */
 export function createClaimHandlers(
@@ -64,7 +65,7 @@
         shared.hasNoEarlierRun = true;
         return [
           ...observed,
-          ...finishNotRun("Too many calls are on record", claimRetryMs),
+          ...finishNotRun("Too many calls are on record", claimRetryAfterMs),
         ];
       case "unavailable":
       case "settled":
@@ -87,10 +88,10 @@
   function finishUnrecorded(): Effects {
     const reason = "The call could not be put on record";
     return shared.hasNoEarlierRun
-      ? finishNotRun(reason, claimRetryMs)
+      ? finishNotRun(reason, claimRetryAfterMs)
       : finishUnknown(
         `${reason}; an earlier sending may have run`,
-        claimRetryMs,
+        claimRetryAfterMs,
       );
   }
 
@@ -102,11 +103,14 @@
         return deliverRecorded(claim, state.answer);
       case "not_run":
         shared.hasNoEarlierRun = true;
-        return finishNotRun("Another entry settled this request", claimRetryMs);
+        return finishNotRun(
+          "Another entry settled this request",
+          claimRetryAfterMs,
+        );
       case "claimed": {
         const ageMs = options.readWallMs() - claim.changedAtMs;
         if (ageMs < activeClaimMaxAgeMs) {
-          return finishUnknown("The request is in progress", claimRetryMs);
+          return finishUnknown("The request is in progress", claimRetryAfterMs);
         }
         shared.current = attemptState.createClaimedState(claim);
         return sendSeal(shared.current);
--- a/packages/anvilhinge/src/entry/session/session_core.ts
+++ b/packages/anvilhinge/src/entry/session/session_core.ts
@@ -97,7 +97,10 @@
 }
 
 const defaultMaxAttempts = 4;
-/** Attempted upstreams after which an unsent attempt is not retried. */
+/**
+ * Number of attempted upstreams after which an unsent attempt is not retried if
+ * the upstreams have no agents.
+ */
 const maxAttemptedUpstreams = 4;
 const defaultStallMs = 5_000;
 const defaultWholeAnswerLimitBytes = 8 * 1024 * 1024;
--- a/packages/anvilhinge/src/entry/session/session_direct_test.ts
+++ b/packages/anvilhinge/src/entry/session/session_direct_test.ts
@@ -10,7 +10,7 @@
   body: new Uint8Array(),
 } as const;
 const repeatable = { work, delivery: "whole", isRepeatable: true } as const;
-const unrepeatable = { ...repeatable, isRepeatable: false };
+const nonRepeatable = { ...repeatable, isRepeatable: false };
 const stream = { work, delivery: "events", isRepeatable: true } as const;
 
 function createDriver(
@@ -38,10 +38,10 @@
 
 /** Chooses one upstream for the first attempt and none afterwards. */
 function chooseOnce(): session.SessionOptions["chooseUpstream"] {
-  return (tried) =>
-    tried.size === 0
+  return (attemptedIds) =>
+    attemptedIds.size === 0
       ? { kind: "chosen", upstream: sessionDriver.createUpstream(0) }
-      : { kind: "none", reason: "none is left", retryAfterMs: 0 };
+      : { kind: "none", reason: "no upstream is left", retryAfterMs: 0 };
 }
 
 const lost = {
@@ -51,22 +51,22 @@
   message: "reset",
 } as const;
 
-test("an attempt is dispatched immediately, without a claim", () => {
-  const driver = createDriver(unrepeatable);
+test("without an agent, an attempt is dispatched immediately and without a claim", () => {
+  const driver = createDriver(nonRepeatable);
   expect(driver.listEffects("dispatch")).toHaveLength(1);
   expect(driver.listEffects("prepare")).toEqual([]);
   expect(driver.listEffects("claim")).toEqual([]);
 });
 
-test("a refusal of the last attempt is answered with not run", () => {
-  const driver = createDriver(unrepeatable, { maxAttempts: 1 });
+test("a refusal of the last attempt is answered with not run and settles no claim", () => {
+  const driver = createDriver(nonRepeatable, { maxAttempts: 1 });
   driver.feedFrame(1, 0, { body: sessionDriver.createRefusal("overloaded") });
   expect(listAnswers(driver)).toEqual(["not_run"]);
   expect(driver.listEffects("settle")).toEqual([]);
 });
 
-test("a request that must not run twice is not retried after it left the node", () => {
-  const driver = createDriver(unrepeatable);
+test("a non-repeatable request is not retried after it left the node", () => {
+  const driver = createDriver(nonRepeatable);
   driver.feed(lost);
   expect(driver.listEffects("dispatch")).toHaveLength(1);
   expect(listAnswers(driver)).toEqual(["unknown"]);
@@ -74,7 +74,7 @@
 });
 
 test("an unsent attempt is retried at another upstream beyond maxAttempts", () => {
-  const driver = createDriver(unrepeatable, {
+  const driver = createDriver(nonRepeatable, {
     maxAttempts: 1,
     takeRetry: () => false,
   });
@@ -84,13 +84,13 @@
 });
 
 test("only a repeatable request is retried when its upstream stalls", () => {
-  const unrepeated = createDriver(unrepeatable);
-  unrepeated.feed({ kind: "timer", name: "stall" });
-  expect(unrepeated.listEffects("dispatch")).toHaveLength(1);
-  const retried = createDriver(repeatable);
-  retried.feed({ kind: "timer", name: "stall" });
-  expect(retried.listEffects("dispatch")).toHaveLength(2);
-  expect(retried.listEffects("cancel")).toHaveLength(1);
+  const nonRepeatableDriver = createDriver(nonRepeatable);
+  nonRepeatableDriver.feed({ kind: "timer", name: "stall" });
+  expect(nonRepeatableDriver.listEffects("dispatch")).toHaveLength(1);
+  const repeatableDriver = createDriver(repeatable);
+  repeatableDriver.feed({ kind: "timer", name: "stall" });
+  expect(repeatableDriver.listEffects("dispatch")).toHaveLength(2);
+  expect(repeatableDriver.listEffects("cancel")).toHaveLength(1);
 });
 
 test.each([
@@ -110,7 +110,7 @@
 });
 
 test("the deadline ends and cancels a dispatched request, repeatable or not", () => {
-  for (const request of [repeatable, unrepeatable]) {
+  for (const request of [repeatable, nonRepeatable]) {
     const driver = createDriver(request);
     driver.feed({ kind: "timer", name: "deadline" });
     expect(listAnswers(driver)).toEqual(["deadline_exceeded"]);
@@ -134,8 +134,8 @@
   expect(driver.listEffects("end")).toHaveLength(1);
 });
 
-test("a failure status of a request that must not run twice is delivered", () => {
-  const driver = createDriver(unrepeatable);
+test("a failure status of a non-repeatable request is delivered", () => {
+  const driver = createDriver(nonRepeatable);
   driver.feedFrame(1, 0, { body: createHead(500) });
   driver.feedFrame(1, 1, { body: sessionDriver.createEnd(2) });
   expect(driver.listEffects("dispatch")).toHaveLength(1);
@@ -196,7 +196,7 @@
 });
 
 test("a waiting request is dispatched once when it is granted a slot", () => {
-  const driver = createDriver(unrepeatable, {
+  const driver = createDriver(nonRepeatable, {
     chooseUpstream: () => ({ kind: "wait" }),
   });
   expect(driver.listEffects("dispatch")).toEqual([]);
@@ -209,7 +209,7 @@
 });
 
 test("a waiting request that is denied or times out is answered with not run", () => {
-  const denied = createDriver(unrepeatable, {
+  const denied = createDriver(nonRepeatable, {
     chooseUpstream: () => ({ kind: "wait" }),
   });
   denied.feed({ kind: "denied", reason: "full", retryAfterMs: 70 });
@@ -218,7 +218,7 @@
     reason: "full",
     retryAfterMs: 70,
   });
-  const expired = createDriver(unrepeatable, {
+  const expired = createDriver(nonRepeatable, {
     chooseUpstream: () => ({ kind: "wait" }),
   });
   expired.feed({ kind: "timer", name: "deadline" });
@@ -226,7 +226,7 @@
 });
 
 test("the attempt of a disconnected caller is cancelled", () => {
-  for (const request of [repeatable, unrepeatable, stream]) {
+  for (const request of [repeatable, nonRepeatable, stream]) {
     const driver = createDriver(request);
     driver.feed({ kind: "caller_gone" });
     expect(driver.session.isDone()).toBe(true);
--- a/packages/anvilhinge/src/entry/session/session_frames.ts
+++ b/packages/anvilhinge/src/entry/session/session_frames.ts
@@ -175,8 +175,9 @@
     sequence: number,
   ): Effects {
     if (eventAssembler === undefined || isFailure(state.status)) {
-      const isHeld = eventAssembler !== undefined;
-      return [...buffer.add({ kind: "data", data, sequence }, { isHeld })];
+      // Buffers the body of a failure, so that another attempt can replace it.
+      const isBuffered = eventAssembler !== undefined;
+      return [...buffer.add({ kind: "data", data, sequence }, { isBuffered })];
     }
     const pushed = eventAssembler.push(data);
     if (pushed.kind === "misplaced") return handleBroken(state, pushed.message);
--- a/packages/anvilhinge/src/entry/session/session_property_test.ts
+++ b/packages/anvilhinge/src/entry/session/session_property_test.ts
@@ -16,7 +16,9 @@
     readonly kind: "any";
     readonly attempt: number;
     readonly sequence: number;
+    /** True if the frame belongs to another request. */
     readonly isForeign: boolean;
+    /** Sequence number that the frame of another request carries. */
     readonly claimedSequence: number;
   }
   | { readonly kind: "lost"; readonly attempt: number }
@@ -27,8 +29,8 @@
     readonly outcome: frames.SealOutcome;
   };
 
-/** Frames of one generation; their text differs from that of every other. */
-function buildGeneration(attempt: number): readonly frames.FrameBody[] {
+/** Frames of one attempt's answer; the texts of all answers differ. */
+function buildAnswer(attempt: number): readonly frames.FrameBody[] {
   const chunks = Array.from(
     { length: chunkCount },
     (_, index) => sessionDriver.createChunk(formatPiece(attempt, index)),
@@ -77,7 +79,7 @@
     switch (input.kind) {
       case "next": {
         const next = nextByAttempt.get(input.attempt) ?? 0;
-        const body = buildGeneration(input.attempt)[next];
+        const body = buildAnswer(input.attempt)[next];
         nextByAttempt.set(input.attempt, next + 1);
         if (body !== undefined) driver.feedFrame(input.attempt, next, { body });
         break;
@@ -87,7 +89,7 @@
         const frameSequence = input.isForeign
           ? input.claimedSequence
           : input.sequence;
-        const body = buildGeneration(input.attempt)[input.sequence]!;
+        const body = buildAnswer(input.attempt)[input.sequence]!;
         const requestId = input.isForeign ? "r2" : "r1";
         driver.feedFrame(input.attempt, frameSequence, { body, requestId });
         break;
@@ -119,7 +121,7 @@
     { isRepeatable: false, delivery: "whole" },
   ] as const,
 )("with events in any order, the answer to %j", (request) => {
-  test("is a prefix of one generation, and complete only with an end frame", () => {
+  test("is a prefix of one attempt's answer, and complete only with an end frame", () => {
     let completed = 0;
     fc.assert(
       fc.property(
@@ -127,7 +129,7 @@
         (inputs) => {
           const driver = feedInputs(inputs, request);
           const text = driver.getText();
-          const generations = Array.from(
+          const answers = Array.from(
             { length: attemptCount },
             (_, index) =>
               Array.from(
@@ -135,7 +137,7 @@
                 (_, chunk) => formatPiece(index + 1, chunk),
               ).join(""),
           );
-          expect(generations.some((full) => full.startsWith(text))).toBe(
+          expect(answers.some((full) => full.startsWith(text))).toBe(
             true,
           );
           const finalEffects = [
@@ -145,7 +147,7 @@
           expect(finalEffects.length).toBeLessThanOrEqual(1);
           if (driver.listEffects("end").length === 1) {
             completed += 1;
-            expect(generations).toContain(text);
+            expect(answers).toContain(text);
           } else if (request.delivery === "whole") {
             expect(text).toBe("");
           }
@@ -153,6 +155,7 @@
       ),
       { seed, numRuns: 1_500 },
     );
+    // Ensures that the inputs complete enough answers for a meaningful check.
     expect(completed).toBeGreaterThan(100);
   });
 });
--- a/packages/anvilhinge/src/entry/session/session_resume_test.ts
+++ b/packages/anvilhinge/src/entry/session/session_resume_test.ts
@@ -50,6 +50,7 @@
     outcome: { kind: "described", incarnation: "a", nowMs: 0 },
   });
   expect(dispatched.map((effect) => effect.kind)).toContain("dispatch");
+  // A duplicate `prepared` event is ignored.
   machine.handle({
     kind: "prepared",
     attemptId: "attempt-0",
--- a/packages/anvilhinge/src/entry/session/session_test.ts
+++ b/packages/anvilhinge/src/entry/session/session_test.ts
@@ -3,7 +3,7 @@
 import * as session from "./session.ts";
 
 const { accepted, createChunk, createEnd, createRefusal } = sessionDriver;
-const unrepeatable = {
+const nonRepeatable = {
   request: { isRepeatable: false, delivery: "whole" },
 } as const;
 const lost: session.SessionEvent = {
@@ -23,7 +23,7 @@
   return driver.listEffects("answer").at(-1)?.answer;
 }
 
-test("the answer is not 'not run' when an earlier attempt may have run", () => {
+test("a refused retry is answered with failed when an earlier attempt may have run", () => {
   const driver = sessionDriver.createDriver({ options: { maxAttempts: 2 } });
   driver.feed(lost);
   driver.feedFrame(2, 0, { body: createRefusal("overloaded") });
@@ -33,7 +33,7 @@
   });
 });
 
-test("the answer is 'not run' when every attempt was refused", () => {
+test("a request is answered with not run when every attempt was refused", () => {
   const driver = sessionDriver.createDriver({ options: { maxAttempts: 2 } });
   driver.feedFrame(1, 0, { body: createRefusal("leaving") });
   driver.feedFrame(2, 0, { body: createRefusal("overloaded") });
@@ -57,16 +57,16 @@
   expect(findFinalAnswer(driver)).toMatchObject({ kind: "failed", ran: "yes" });
 });
 
-test("a failed request that must not run twice has an unknown outcome", () => {
-  const driver = sessionDriver.createDriver(unrepeatable);
+test("a failed non-repeatable request has an unknown outcome", () => {
+  const driver = sessionDriver.createDriver(nonRepeatable);
   driver.feedFrame(1, 0, { body: accepted });
   driver.feedFrame(1, 1, { body: failed });
   expect(driver.listEffects("dispatch")).toHaveLength(1);
   expect(findFinalAnswer(driver)).toMatchObject({ kind: "unknown" });
 });
 
-test("a lost unrepeatable attempt is sealed before another attempt starts", () => {
-  const driver = sessionDriver.createDriver(unrepeatable);
+test("a lost non-repeatable attempt is sealed before another attempt starts", () => {
+  const driver = sessionDriver.createDriver(nonRepeatable);
   driver.feed(lost);
   expect(driver.listEffects("dispatch")).toHaveLength(1);
   expect(driver.listEffects("seal")[0]?.seal).toMatchObject({
@@ -82,7 +82,7 @@
 test.each(["unknown", "unreachable"] as const)(
   "a seal answered with %s leaves the outcome unknown",
   (outcome) => {
-    const driver = sessionDriver.createDriver(unrepeatable);
+    const driver = sessionDriver.createDriver(nonRepeatable);
     driver.feed(lost);
     driver.feed({ kind: "seal_answered", attemptId: "a1", outcome });
     expect(driver.listEffects("dispatch")).toHaveLength(1);
@@ -91,13 +91,13 @@
 );
 
 test("a refusal by another incarnation leaves the outcome unknown", () => {
-  const driver = sessionDriver.createDriver(unrepeatable);
+  const driver = sessionDriver.createDriver(nonRepeatable);
   driver.feedFrame(1, 0, { body: createRefusal("wrong_incarnation") });
   expect(findFinalAnswer(driver)).toMatchObject({ kind: "unknown" });
 });
 
-test("an unrepeatable request continues after its caller disconnects and is recorded", () => {
-  const driver = sessionDriver.createDriver(unrepeatable);
+test("a non-repeatable request continues after its caller disconnects and is recorded", () => {
+  const driver = sessionDriver.createDriver(nonRepeatable);
   driver.feed({ kind: "caller_gone" });
   expect(driver.session.isDone()).toBe(false);
   driver.feedFrame(1, 0, { body: accepted });
@@ -114,8 +114,8 @@
   }]);
 });
 
-test("a slow unrepeatable attempt continues while its agent reports it as running", () => {
-  const driver = sessionDriver.createDriver(unrepeatable);
+test("a slow non-repeatable attempt continues while its agent reports it as running", () => {
+  const driver = sessionDriver.createDriver(nonRepeatable);
   for (let count = 0; count < 10; count += 1) {
     driver.feed(stall);
     const attemptId = "a1";
@@ -138,7 +138,7 @@
       digest: "d",
       priority: 1,
       deadlineAtMs: 30_000,
-      ...unrepeatable.request,
+      ...nonRepeatable.request,
       ...request,
     }, {
       clock: { now: () => 10_000 },
@@ -186,7 +186,7 @@
     ]);
   });
 
-  test("an outage leaves a call with a possible earlier submission unknown", () => {
+  test("an outage of the object store leaves the outcome of a call with a caller-supplied id unknown", () => {
     const effects = feedClaimAnswer(createClaimingSession({ isNamed: true }), {
       kind: "unavailable",
       message: "down",
@@ -194,7 +194,7 @@
     expect(effects.at(-1)).toMatchObject({ answer: { kind: "unknown" } });
   });
 
-  test("a named call is answered with not run only after its claim is looked up", () => {
+  test("a call with a caller-supplied id is answered with not run only after the lookup of its claim", () => {
     const machine = createClaimingSession({ isNamed: true });
     const effects = machine.handle({ kind: "timer", name: "deadline" });
     expect(effects.at(-1)).toEqual({ kind: "find" });
@@ -267,7 +267,7 @@
   });
 });
 
-test.each([unrepeatable, {}])("each attempt is reported once", (options) => {
+test.each([nonRepeatable, {}])("each attempt is reported once", (options) => {
   for (const final of ["deadline", "caller_gone"] as const) {
     const driver = sessionDriver.createDriver(options);
     driver.feed(lost);
--- a/packages/anvilhinge/src/entry/session/session_timers.ts
+++ b/packages/anvilhinge/src/entry/session/session_timers.ts
@@ -29,14 +29,14 @@
 export function createSessionTimers(
   options: SessionTimersOptions,
 ): SessionTimers {
-  const { scheduler: clock } = options;
+  const { scheduler: platformScheduler } = options;
   const abort = new AbortController();
   const timers = new Map<session.TimerName, Timer>();
 
   function schedule(name: session.TimerName, timer: Timer): void {
     const { fireMs } = timer;
-    clock.schedule(() => expire(name, { timer, fireMs }), {
-      delayMs: fireMs - clock.now(),
+    platformScheduler.schedule(() => expire(name, { timer, fireMs }), {
+      delayMs: fireMs - platformScheduler.now(),
       signal: abort.signal,
     });
   }
@@ -59,7 +59,7 @@
 
   return {
     set(name, delayMs) {
-      const dueMs = clock.now() + delayMs;
+      const dueMs = platformScheduler.now() + delayMs;
       const current = timers.get(name);
       if (current !== undefined && current.fireMs <= dueMs) {
         current.dueMs = dueMs;
--- a/packages/anvilhinge/src/entry/session/session_types.ts
+++ b/packages/anvilhinge/src/entry/session/session_types.ts
@@ -12,7 +12,9 @@
   readonly rank: number;
   /** Address of the agent, as `host:port`. */
   readonly address: string;
+  /** Half to which the group is assigned. */
   readonly half: string;
+  /** Epoch of that assignment. */
   readonly epoch: number;
 }
 
@@ -39,7 +41,7 @@
    * submission of the request may exist.
    */
   readonly isNamed: boolean;
-  /** Digest of method, path and body; empty for repeatable requests. */
+  /** Digest of service, method, path and body; empty if repeatable. */
   readonly digest: string;
   readonly priority: number;
   /** Time on the entry's clock by which the caller expects the answer. */
@@ -261,7 +263,11 @@
     readonly name: TimerName;
     readonly delayMs: number;
   }
-  /** Report the end of an attempt, for the health and load of the upstream. */
+  /**
+   * Report the end of an attempt, for the health and load of the upstream.
+   * `completed` includes attempts that ended without being dispatched, for
+   * example because the caller disconnected.
+   */
   | {
     readonly kind: "observe";
     readonly upstream: Upstream;
--- a/packages/anvilhinge/src/explain/log_line.ts
+++ b/packages/anvilhinge/src/explain/log_line.ts
@@ -13,13 +13,13 @@
 export function parseLogLine(text: string): LogLine | undefined {
   const start = text.indexOf("{");
   const parsed = start < 0 ? undefined : parseObject(text.slice(start));
-  const { name, hostname, msg, time, ...rest } = parsed ?? {};
+  const { name, hostname, msg, time, ...otherFields } = parsed ?? {};
   const atMs = typeof time === "string" ? Date.parse(time) : NaN;
   if (
     name !== "anvilhinge" || typeof hostname !== "string" ||
     typeof msg !== "string" || !Number.isFinite(atMs)
   ) return undefined;
-  const { pid: _pid, level: _level, v: _v, ...fields } = rest;
+  const { pid: _pid, level: _level, v: _v, ...fields } = otherFields;
   return { atMs, hostname, message: msg, fields };
 }
 
--- a/packages/anvilhinge/src/explain/request_report.ts
+++ b/packages/anvilhinge/src/explain/request_report.ts
@@ -28,8 +28,8 @@
  * Limits of the time before and after a request in which related lines are
  * searched. Causes are logged shortly before their effects, and clocks differ.
  */
-const beforeMs = 3_000;
-const afterMs = 1_000;
+const relatedBeforeMs = 3_000;
+const relatedAfterMs = 1_000;
 const maxRelatedLines = 40;
 
 /** Messages about single requests; too frequent to list as related lines. */
@@ -45,9 +45,11 @@
 ): RequestReport {
   const parsed = [...lines].flatMap((line) => logLine.parseLogLine(line) ?? [])
     .sort((a, b) => a.atMs - b.atMs);
-  const own = parsed.filter(({ fields }) => fields["requestId"] === requestId);
-  const parts = own.map((line) => describeLine(line, parsed));
-  return { text: parts.join("\n"), found: own.length };
+  const requestLines = parsed.filter(({ fields }) =>
+    fields["requestId"] === requestId
+  );
+  const parts = requestLines.map((line) => describeLine(line, parsed));
+  return { text: parts.join("\n"), found: requestLines.length };
 }
 
 function describeLine(
@@ -104,8 +106,8 @@
     : `; waited ${waitedMs} ms for slots, last decided by the ${decidedBy}`;
   const first = firstMs === undefined ? "" : `, first part at ${firstMs} ms`;
   const after = tookMs === undefined ? "" : ` after ${tookMs} ms`;
-  const why = reason === undefined ? "" : `: ${reason}`;
-  return `  answer ${status}${after}${first}${why}${waited}`;
+  const reasonText = reason === undefined ? "" : `: ${reason}`;
+  return `  answer ${status}${after}${first}${reasonText}${waited}`;
 }
 
 /**
@@ -123,7 +125,8 @@
 ): readonly string[] {
   const upstreams = new Set(attempts.map(({ upstream }) => upstream));
   const related = all.filter(({ atMs, hostname, message, fields }) =>
-    atMs >= span.startMs - beforeMs && atMs <= span.endMs + afterMs &&
+    atMs >= span.startMs - relatedBeforeMs &&
+    atMs <= span.endMs + relatedAfterMs &&
     !requestMessages.includes(message) &&
     (hostname === own.hostname || fields["group"] !== undefined ||
       isPoolLoad(fields["pools"]) ||
--- a/packages/anvilhinge/src/explain/request_report_test.ts
+++ b/packages/anvilhinge/src/explain/request_report_test.ts
@@ -58,12 +58,12 @@
 });
 
 test("lists related lines of all processes in order of time", () => {
-  const upstreamGone = createLine("[entry] Upstream gone", {
+  const upstreamRemoved = createLine("[entry] Removed an upstream", {
     atMs: 2_300,
     hostname: "front-9",
     upstream: "i-2",
   });
-  const storeLost = createLine("[entry] Lost contact with the store", {
+  const storeLost = createLine("[entry] Lost contact with the object store", {
     atMs: 1_000,
   });
   const holdEnded = createLine("[agent] Ending an abandoned hold", {
@@ -77,7 +77,7 @@
     pools: [{ pool: "p", waiting: 3 }],
   });
   const unrelated = [
-    createLine("[entry] Upstream gone", {
+    createLine("[entry] Removed an upstream", {
       atMs: 2_300,
       hostname: "front-9",
       upstream: "i-7",
@@ -87,7 +87,7 @@
     createLine("[entry] Stopped", { atMs: 9_000 }),
   ];
   const { text } = requestReport.describeRequest(
-    [upstreamGone, ...unrelated, done, holdEnded, poolLoad, storeLost],
+    [upstreamRemoved, ...unrelated, done, holdEnded, poolLoad, storeLost],
     "q1",
   );
   const related = text.split("Related log lines:\n")[1]?.trimEnd().split("\n");
@@ -96,11 +96,11 @@
       "front-1 [entry] Lost contact",
       "side-1 [agent] Ending an",
       "front-8 [entry] Load of",
-      "front-9 [entry] Upstream gone",
+      "front-9 [entry] Removed an",
     ]);
 });
 
-test("parses lines with a collector's prefix and skips foreign lines", () => {
+test("parses lines with a collector's prefix and skips lines of other programs", () => {
   const lines = ["boot", "{broken", '{"name":"other"}', `12.5 host-a ${done}`];
   expect(requestReport.describeRequest(lines, "q1").found).toBe(1);
   expect(requestReport.describeRequest(lines, "q9")).toEqual({
--- a/packages/anvilhinge/src/ports/caller_dialect.ts
+++ b/packages/anvilhinge/src/ports/caller_dialect.ts
@@ -7,7 +7,7 @@
   readonly requestId: string | undefined;
   /** Access key of the workspace; undefined when the caller sent none. */
   readonly key: string | undefined;
-  /** Time that the caller is still going to wait, in milliseconds. */
+  /** Remaining time that the caller will wait, in milliseconds. */
   readonly leftMs: number | undefined;
   /** Id of the last event that the caller received, to resume a stream. */
   readonly resumeAfter: string | undefined;
--- a/packages/anvilhinge/src/ports/engine.ts
+++ b/packages/anvilhinge/src/ports/engine.ts
@@ -46,7 +46,7 @@
 export interface EngineLoad {
   readonly running: number;
   readonly queued: number;
-  /** Duration of the last step in microseconds; 0 when unknown. */
+  /** Duration of the last forward pass in microseconds; 0 when unknown. */
   readonly stepUs: number;
 }
 
--- a/packages/anvilhinge/src/ports/frames.ts
+++ b/packages/anvilhinge/src/ports/frames.ts
@@ -78,7 +78,9 @@
   readonly requestId: string;
   readonly attemptId: string;
   readonly workspace: string;
+  /** Half that dispatches the attempt. */
   readonly half: string;
+  /** Epoch of the group's assignment to that half. */
   readonly epoch: number;
   readonly group: string;
   readonly rank: number;
--- a/packages/anvilhinge/src/ports/object_store.ts
+++ b/packages/anvilhinge/src/ports/object_store.ts
@@ -46,8 +46,8 @@
   readonly signal: AbortSignal;
   /**
    * Returns the maximum time to the next `confirmed` event, in milliseconds,
-   * for stores that support them; each costs a call. The store's client
-   * chooses the default.
+   * for stores that support `confirmed` events; each event costs a call. The
+   * store's client chooses the default.
    */
   readonly getConfirmIntervalMs?: () => number | undefined;
   /**
--- a/packages/anvilhinge/src/ports/rank_engine.ts
+++ b/packages/anvilhinge/src/ports/rank_engine.ts
@@ -30,7 +30,7 @@
   readonly experts: readonly (readonly number[])[];
 }
 
-/** Reads resolve to undefined when the engine does not answer. */
+/** Engine of one rank; a read without an answer resolves to undefined. */
 export interface RankEngine {
   readReport(): Promise<RankReport | undefined>;
   readCounts(): Promise<ExpertCounts | undefined>;
--- a/packages/anvilhinge/src/telemetry/line_sink.ts
+++ b/packages/anvilhinge/src/telemetry/line_sink.ts
@@ -43,17 +43,18 @@
 export function createLineSink(options: LineSinkOptions): LineSink {
   const limitBytes = options.limitBytes ?? defaultLimitBytes;
   let dropped = 0;
-  let gapLines = 0;
+  // Number of lines dropped since the last written line.
+  let gapLength = 0;
 
   return {
     write(line) {
       if (options.output.writableLength + line.length > limitBytes) {
         dropped += 1;
-        gapLines += 1;
+        gapLength += 1;
         return false;
       }
-      if (gapLines > 0) options.output.write(options.createGapLine(gapLines));
-      gapLines = 0;
+      if (gapLength > 0) options.output.write(options.createGapLine(gapLength));
+      gapLength = 0;
       options.output.write(line);
       return true;
     },
@@ -63,11 +64,11 @@
 
 /** Opens the standard output for non-blocking writes. */
 export function openStandardOutput(): LineSinkOptions["output"] {
-  const standardOutput = 1;
-  const stats = fs.fstatSync(standardOutput);
+  const standardOutputFd = 1;
+  const stats = fs.fstatSync(standardOutputFd);
   if (!stats.isFIFO() && !stats.isSocket()) return process.stdout;
   const socket = new net.Socket({
-    fd: standardOutput,
+    fd: standardOutputFd,
     readable: false,
     writable: true,
   });
--- a/packages/anvilhinge/src/telemetry/line_sink_test.ts
+++ b/packages/anvilhinge/src/telemetry/line_sink_test.ts
@@ -39,6 +39,7 @@
 
 test("never buffers more than the limit, whatever is written", () => {
   fc.assert(fc.property(
+    // Lines to write; `null` drains the output.
     fc.array(fc.oneof(fc.string({ maxLength: 40 }), fc.constant(null))),
     (steps) => {
       const { output, lines, drain } = createOutput();
@@ -55,6 +56,7 @@
         }
         written += 1;
         sink.write(`${step}\n`);
+        // The gap line of 4 bytes may exceed the limit.
         expect(output.writableLength).toBeLessThanOrEqual(100 + 4);
       }
       const passedCount = lines.filter((line) => line !== "gap\n").length;
--- a/packages/anvilhinge/src/telemetry/logger.ts
+++ b/packages/anvilhinge/src/telemetry/logger.ts
@@ -56,7 +56,7 @@
     level,
     stream: stream as NodeJS.WritableStream,
   });
-  let leftOut = 0;
+  let droppedLines = 0;
   const prefix = `[${component}]`;
   const warnedCauses = new Set<string>();
   return {
@@ -67,14 +67,20 @@
     error: (message, fields = {}) => log.error(fields, `${prefix} ${message}`),
     infoRateLimited(message, fields = {}) {
       if (takeToken === undefined || takeToken()) {
-        const leftOutBefore = leftOut === 0 ? undefined : leftOut;
-        leftOut = 0;
-        log.info({ ...fields, leftOutBefore }, `${prefix} ${message}`);
+        const droppedBefore = droppedLines === 0 ? undefined : droppedLines;
+        droppedLines = 0;
+        log.info(
+          { ...fields, leftOutBefore: droppedBefore },
+          `${prefix} ${message}`,
+        );
         return;
       }
-      leftOut += 1;
-      if (leftOut % linesPerWarning !== 0) return;
-      log.warn({ leftOut }, `${prefix} Dropped log lines over the rate limit`);
+      droppedLines += 1;
+      if (droppedLines % linesPerWarning !== 0) return;
+      log.warn(
+        { leftOut: droppedLines },
+        `${prefix} Dropped log lines over the rate limit`,
+      );
     },
     warnOnce(cause, message) {
       if (warnedCauses.has(cause)) return;
