--- a/packages/anvilhinge/src/agent/entry_client.ts
+++ b/packages/anvilhinge/src/agent/entry_client.ts
@@ -31,7 +31,8 @@
     } catch {
       return false;
     } finally {
-      // Reports are rare; without this, every rank would keep connections open.
+      // Reports are rare; connections that stay open would link every rank to
+      // several entries.
       sessionManager.abort();
     }
   };
--- a/packages/anvilhinge/src/entry/session/session_types.ts
+++ b/packages/anvilhinge/src/entry/session/session_types.ts
@@ -265,8 +265,8 @@
   }
   /**
    * Report the end of an attempt, for the health and load of the upstream.
-   * `completed` includes attempts that ended without being dispatched, for
-   * example because the caller disconnected.
+   * `completed` includes attempts that the session ended before their dispatch,
+   * and attempts whose caller disconnected.
    */
   | {
     readonly kind: "observe";
