--- a/packages/anvilhinge/src/agent/entry_client.ts
+++ b/packages/anvilhinge/src/agent/entry_client.ts
@@ -31,7 +31,8 @@
     } catch {
       return false;
     } finally {
-      // Reports are rare; open connections would link every rank to entries.
+      // Reports are rare; connections that stay open would link every rank to
+      // several entries.
       sessionManager.abort();
     }
   };
