--- a/packages/anvilhinge/src/main.ts
+++ b/packages/anvilhinge/src/main.ts
@@ -1,4 +1,4 @@
-/** The daemon and its operators' command in one binary. */
+/** Entry point of the binary: the daemon and the operators' command line. */
 import * as crypto from "node:crypto";
 import * as undici from "undici";
 import * as agent from "./agent/mod.ts";
@@ -7,25 +7,25 @@
 import * as entry from "./entry/mod.ts";
 import * as shutdown from "./shutdown.ts";
 
-/** Connects the signals of the platform to the shutdown. */
-function watchSignals(asked: shutdown.Shutdown): void {
+/** Starts the shutdown on SIGTERM and SIGINT. */
+function watchSignals(processShutdown: shutdown.Shutdown): void {
   for (const name of ["SIGTERM", "SIGINT"] as const) {
-    process.on(name, asked.handleSignal);
+    process.on(name, processShutdown.handleSignal);
   }
 }
 
-function createRoles(asked: shutdown.Shutdown): program.Roles {
-  const { signal, setWorkDescription: onWork } = asked;
+function createRoles(processShutdown: shutdown.Shutdown): program.Roles {
+  const { signal, setWorkDescription: registerWorkDescriber } = processShutdown;
   return {
     runEntry: (settings) =>
-      entry.runEntry(settings, { signal, registerWorkDescriber: onWork }),
+      entry.runEntry(settings, { signal, registerWorkDescriber }),
     runAgent: (settings) =>
-      agent.runAgent(settings, { signal, registerWorkDescriber: onWork }),
+      agent.runAgent(settings, { signal, registerWorkDescriber }),
     runDev: dev.runDev,
   };
 }
 
-/** Ends quietly when the reader of the output, such as `head`, has gone. */
+/** Exits silently when the reader of the output, such as `head`, closed it. */
 function handleClosedOutput(error: NodeJS.ErrnoException): void {
   if (error.code !== "EPIPE") throw error;
   process.exit();
@@ -33,23 +33,23 @@
 
 async function runMain(): Promise<void> {
   process.stdout.on("error", handleClosedOutput);
-  const asked = shutdown.createShutdown({
+  const processShutdown = shutdown.createShutdown({
     writeError: (text) => void process.stderr.write(text),
     exit: (code) => process.exit(code),
   });
-  watchSignals(asked);
-  const built = program.buildProgram({
-    roles: createRoles(asked),
+  watchSignals(processShutdown);
+  const commandLine = program.buildProgram({
+    roles: createRoles(processShutdown),
     output: {
       write: (text) => void process.stdout.write(text),
       writeError: (text) => void process.stderr.write(text),
     },
     fetch: undici.fetch,
     createChangeId: () => crypto.randomUUID(),
-    signal: asked.signal,
+    signal: processShutdown.signal,
     environment: process.env,
   });
-  process.exitCode = await built.run(process.argv.slice(2));
+  process.exitCode = await commandLine.run(process.argv.slice(2));
 }
 
 void runMain();
--- a/packages/anvilhinge/src/settings/document.ts
+++ b/packages/anvilhinge/src/settings/document.ts
@@ -1,4 +1,4 @@
-/** Settings documents, checked against a schema. */
+/** Checks settings documents against a schema. */
 import type * as zod from "zod";
 import * as documentText from "./document_text.ts";
 import * as knownKeys from "./known_keys.ts";
@@ -17,7 +17,7 @@
   },
 ): readonly documentText.Problem[] {
   const path = issue.path as documentText.DocumentPath;
-  const known = knownKeys.listKnownKeys(schema, {
+  const keysOfSchema = knownKeys.listKnownKeys(schema, {
     path,
     value: document.value,
   });
@@ -26,7 +26,7 @@
     ...document.locateKey(path, key),
     path: documentText.formatPath([...path, key]),
     message: `Unknown key "${key}"`,
-    hint: documentText.formatNameHint(key, known),
+    hint: documentText.formatNameHint(key, keysOfSchema),
   }));
 }
 
@@ -53,7 +53,7 @@
   return { kind: "invalid", problems };
 }
 
-/** Parses a text and checks it against a schema. */
+/** Parses a settings document and checks it against a schema. */
 export function checkText<Schema extends zod.ZodType>(
   text: string,
   options: CheckOptions<Schema>,
--- a/packages/anvilhinge/src/settings/document_test.ts
+++ b/packages/anvilhinge/src/settings/document_test.ts
@@ -17,7 +17,7 @@
   });
 });
 
-test("a problem carries the place and path of its value", () => {
+test("a problem carries the position and path of the invalid value", () => {
   const outcome = check('{\n  "ranks": [\n    { "agent": 5 }\n  ]\n}');
   expect(outcome).toMatchObject({
     kind: "invalid",
@@ -25,7 +25,7 @@
   });
 });
 
-test("an unknown key is refused with the nearest known name", () => {
+test("an unknown key is rejected with the closest known name as a hint", () => {
   const outcome = check(
     '{\n  "limits": { "concurency": 1, "concurrency": 2 }}',
   );
@@ -49,9 +49,12 @@
   ['{\n "ranks": [}', 2, 12],
   ['{\n "ranks": [],\n "ranks": []}', 3, 2],
   ["", 1, 1],
-])("syntax errors and repeated keys are located: %j", (text, line, column) => {
-  const outcome = check(text);
-  expect(outcome).toMatchObject({ kind: "invalid" });
-  if (outcome.kind !== "invalid") return;
-  expect(outcome.problems[0]).toMatchObject({ line, column });
-});
+])(
+  "syntax errors and duplicate keys carry their position: %j",
+  (text, line, column) => {
+    const outcome = check(text);
+    expect(outcome).toMatchObject({ kind: "invalid" });
+    if (outcome.kind !== "invalid") return;
+    expect(outcome.problems[0]).toMatchObject({ line, column });
+  },
+);
--- a/packages/anvilhinge/src/settings/document_text.ts
+++ b/packages/anvilhinge/src/settings/document_text.ts
@@ -1,6 +1,7 @@
 /**
- * Texts of settings: JSON with comments, with a place in the file for every
- * problem. Small enough for processes that must not load a whole schema library.
+ * Parses settings documents (JSON with comments) and reports every problem with
+ * its position in the file. Does not load the schema library, so that processes
+ * that avoid its memory footprint can use this module.
  */
 import * as jsonc from "jsonc-parser";
 import type * as zod from "zod/v4/core";
@@ -8,19 +9,19 @@
 
 export type DocumentPath = readonly (string | number)[];
 
-/** Place in a text; both numbers begin at 1. */
+/** Position in a text; lines and columns start at 1. */
 export interface Position {
   readonly line: number;
   readonly column: number;
 }
 
-/** One reason why settings are refused. */
+/** One reason why settings are rejected. */
 export interface Problem extends Position {
   readonly file: string;
   /** Path inside the document such as `operators[0].name`; empty at the root. */
   readonly path: string;
   readonly message: string;
-  /** What to do about it; empty when the message says it all. */
+  /** Suggested fix; empty when the message is sufficient. */
   readonly hint: string;
 }
 
@@ -29,7 +30,7 @@
   readonly problems: readonly Problem[];
 }
 
-/** Settings with all defaults filled in, or all reasons against them. */
+/** Settings with all defaults filled in, or all problems found in them. */
 export type CheckOutcome<Settings> =
   | { readonly kind: "valid"; readonly settings: Settings }
   | InvalidOutcome;
@@ -38,9 +39,9 @@
   /** Text that was parsed. */
   readonly text: string;
   readonly value: unknown;
-  /** Returns the place of a value, or of its nearest existing parent. */
+  /** Returns the position of a value, or of its nearest existing parent. */
   locate(path: DocumentPath): Position;
-  /** Returns the place of a key of the object at `path`. */
+  /** Returns the position of a key of the object at `path`. */
   locateKey(path: DocumentPath, key: string): Position;
 }
 
@@ -49,7 +50,7 @@
   | InvalidOutcome;
 
 export interface DocumentOptions {
-  /** File name that problems name. */
+  /** File name shown in problems. */
   readonly file: string;
 }
 
@@ -90,19 +91,19 @@
   };
 }
 
-function collectRepeatedKeys(node: jsonc.Node): readonly jsonc.Node[] {
+function collectDuplicateKeys(node: jsonc.Node): readonly jsonc.Node[] {
   const children = node.children ?? [];
-  const below = children.flatMap(collectRepeatedKeys);
-  if (node.type !== "object") return below;
+  const nested = children.flatMap(collectDuplicateKeys);
+  if (node.type !== "object") return nested;
   const seen = new Set<unknown>();
-  const repeated = children.flatMap((property) => {
+  const duplicates = children.flatMap((property) => {
     const keyNode = property.children?.[0];
     if (keyNode === undefined) return [];
     if (seen.has(keyNode.value)) return [keyNode];
     seen.add(keyNode.value);
     return [];
   });
-  return [...repeated, ...below];
+  return [...duplicates, ...nested];
 }
 
 function describeSyntaxError(code: jsonc.ParseErrorCode): string {
@@ -125,13 +126,13 @@
     message: describeSyntaxError(error.error),
     hint: "",
   }));
-  for (const keyNode of root === undefined ? [] : collectRepeatedKeys(root)) {
+  for (const keyNode of root === undefined ? [] : collectDuplicateKeys(root)) {
     problems.push({
       file,
       ...computePosition(text, keyNode.offset),
       path: formatPath(jsonc.getNodePath(keyNode.parent!)),
-      message: `Key "${keyNode.value}" stands twice in one object`,
-      hint: "Keep one of them",
+      message: `Duplicate key "${keyNode.value}"`,
+      hint: "Keep only one of them",
     });
   }
   if (root === undefined || problems.length > 0) {
@@ -140,7 +141,7 @@
   return { kind: "parsed", document: createDocument(text, root) };
 }
 
-/** Creates the problem of one value in a parsed document. */
+/** Creates a problem located at a value of a parsed document. */
 export function createProblem(
   document: Document,
   options: {
@@ -159,14 +160,14 @@
   };
 }
 
-/** Describes the nearest known name, or all of them when none is near. */
+/** Suggests the closest known name, or lists all names when none is close. */
 export function formatNameHint(
   name: string,
-  known: readonly string[],
+  knownNames: readonly string[],
 ): string {
-  const nearest = nearestName.findNearestName(name, known);
+  const nearest = nearestName.findNearestName(name, knownNames);
   if (nearest !== undefined) return `Did you mean "${nearest}"?`;
-  return known.length === 0 ? "" : `Known names: ${known.join(", ")}`;
+  return knownNames.length === 0 ? "" : `Known names: ${knownNames.join(", ")}`;
 }
 
 /** Returns the value at a path; undefined when there is none. */
@@ -177,7 +178,7 @@
   );
 }
 
-/** Describes one issue that a schema found with a value. */
+/** Converts a schema issue with a value into a message and a hint. */
 export function describeIssue(
   issue: zod.$ZodIssue,
   value: unknown,
@@ -192,12 +193,12 @@
   return { message: issue.message };
 }
 
-/** Formats problems for a terminal, one a line. */
+/** Formats problems for a terminal, one per line. */
 export function formatProblems(problems: readonly Problem[]): string {
   return problems.map((problem) => {
-    const place = `${problem.file}:${problem.line}:${problem.column}`;
+    const position = `${problem.file}:${problem.line}:${problem.column}`;
     const path = problem.path === "" ? "" : ` ${problem.path}:`;
     const hint = problem.hint === "" ? "" : `. ${problem.hint}`;
-    return `${place}:${path} ${problem.message}${hint}`;
+    return `${position}:${path} ${problem.message}${hint}`;
   }).join("\n");
 }
--- a/packages/anvilhinge/src/settings/known_keys.ts
+++ b/packages/anvilhinge/src/settings/known_keys.ts
@@ -1,4 +1,4 @@
-/** Lists the keys that a schema knows at a path, for hints on unknown keys. */
+/** Lists the keys that a schema defines at a path, for hints on unknown keys. */
 import * as zod from "zod";
 
 type Key = string | number;
@@ -31,22 +31,28 @@
   return schema;
 }
 
-/** Returns the keys of the object schema at `path`; empty if there is none. */
+/** Returns the keys of the object schema at `path`; empty if there is no object. */
 export function listKnownKeys(
   schema: zod.core.$ZodType | undefined,
   { path, value }: { readonly path: readonly Key[]; readonly value: unknown },
 ): readonly string[] {
   const resolved = resolveSchema(schema, value);
-  const [key, ...rest] = path;
+  const [key, ...remainingPath] = path;
   if (key === undefined) {
     return resolved instanceof zod.ZodObject ? Object.keys(resolved.shape) : [];
   }
   const child = (value as Record<Key, unknown> | undefined)?.[key];
   if (resolved instanceof zod.ZodArray) {
-    return listKnownKeys(resolved.element, { path: rest, value: child });
+    return listKnownKeys(resolved.element, {
+      path: remainingPath,
+      value: child,
+    });
   }
   if (resolved instanceof zod.ZodObject) {
-    return listKnownKeys(resolved.shape[key], { path: rest, value: child });
+    return listKnownKeys(resolved.shape[key], {
+      path: remainingPath,
+      value: child,
+    });
   }
   return [];
 }
--- a/packages/anvilhinge/src/settings/names.ts
+++ b/packages/anvilhinge/src/settings/names.ts
@@ -1,7 +1,7 @@
-/** Names and addresses that settings of all kinds share. */
+/** Schemas of names and addresses that all kinds of settings use. */
 import * as zod from "zod";
 
-/** Organisations that own upstreams. */
+/** The two organisations that own upstreams. */
 export const halves = ["association", "water_board"] as const;
 
 export type Half = typeof halves[number];
@@ -9,12 +9,12 @@
 const namePattern = /^[a-z0-9_.-]+$/;
 const maxPort = 65535;
 
-/** Returns whether `text` may name a team, an object or an instance. */
+/** Returns whether `text` is a valid name of a team, an object or an instance. */
 export function isName(text: string): boolean {
   return namePattern.test(text) && text !== "." && text !== "..";
 }
 
-/** Returns whether `text` names a half. */
+/** Returns whether `text` is the name of a half. */
 export function isHalf(text: string): text is Half {
   return (halves as readonly string[]).includes(text);
 }
@@ -31,23 +31,23 @@
 /** Name of a team, an object, an instance or a failure domain. */
 export const name = zod.string().refine(
   isName,
-  "Expected a name of the characters a-z, 0-9, _, . and -",
+  "Expected a name made of the characters a-z, 0-9, _, . and -",
 );
 
 export const half = zod.enum(halves);
 
 export const host = zod.union(
   [zod.ipv4(), zod.ipv6()],
-  "Expected an IP number such as 127.0.0.1",
+  "Expected an IP address such as 127.0.0.1",
 );
 
-/** TCP port; 0 lets the system choose. */
+/** TCP port; 0 lets the operating system choose a free port. */
 export const port = zod.int().min(0).max(maxPort);
 
-/** IP number and port in one string. */
+/** IP address and port in one string. */
 export const hostPort = zod.string().refine(
   isHostPort,
-  'Expected an IP number and a port such as "127.0.0.1:7000"',
+  'Expected an IP address and a port such as "127.0.0.1:7000"',
 );
 
 export const httpUrl = zod.url({
--- a/packages/anvilhinge/src/settings/nearest_name.ts
+++ b/packages/anvilhinge/src/settings/nearest_name.ts
@@ -1,6 +1,6 @@
-/** Finds the known name that an unknown one was probably meant to be. */
+/** Finds the known name that is closest to a mistyped name. */
 
-function computeDistance(left: string, right: string): number {
+function computeEditDistance(left: string, right: string): number {
   let previous = Array.from({ length: right.length + 1 }, (_, index) => index);
   for (const [row, leftCharacter] of [...left].entries()) {
     const current = [row + 1];
@@ -17,7 +17,7 @@
   return previous[right.length]!;
 }
 
-/** Returns the known name with the least edit distance, unless all are far. */
+/** Returns the known name with the smallest edit distance, unless all are far. */
 export function findNearestName(
   name: string,
   knownNames: readonly string[],
@@ -26,7 +26,7 @@
   return knownNames
     .map((known) => ({
       known,
-      distance: computeDistance(name.toLowerCase(), known.toLowerCase()),
+      distance: computeEditDistance(name.toLowerCase(), known.toLowerCase()),
     }))
     .filter(({ distance }) => distance <= maxDistance)
     .sort((left, right) => left.distance - right.distance)[0]?.known;
--- a/packages/anvilhinge/src/settings/object_files.ts
+++ b/packages/anvilhinge/src/settings/object_files.ts
@@ -1,4 +1,4 @@
-/** Reads folders of settings objects, such as those of `playground/`. */
+/** Reads settings objects from files and folders, such as `playground/`. */
 import * as fs from "node:fs/promises";
 import * as nodePath from "node:path";
 import * as document from "./document.ts";
@@ -8,7 +8,7 @@
 const fileExtension = ".jsonc";
 const pathPartCount = 4;
 
-/** Returns the settings path that the place of a file stands for. */
+/** Derives the settings path of an object from the path of its file. */
 export function convertFileToPath(file: string): string {
   const parts = nodePath.resolve(file).split(nodePath.sep);
   const path = parts.slice(-pathPartCount).join("/");
@@ -34,15 +34,15 @@
   return [...grouped.values()];
 }
 
-function refuseEmptyFolder(folder: string): document.InvalidOutcome {
-  const message = `The folder holds no ${fileExtension} files`;
-  const place = { file: folder, line: 1, column: 1, path: "" };
-  return { kind: "invalid", problems: [{ ...place, message, hint: "" }] };
+function rejectEmptyFolder(folder: string): document.InvalidOutcome {
+  const message = `The folder contains no ${fileExtension} files`;
+  const position = { file: folder, line: 1, column: 1, path: "" };
+  return { kind: "invalid", problems: [{ ...position, message, hint: "" }] };
 }
 
 /**
  * Reads all files `<half>/<team>/<kind>/<name>.jsonc` in or below a folder.
- * Rejects when the folder can't be read.
+ * The promise rejects when the folder can't be read.
  */
 export async function readObjectSources(
   folder: string,
@@ -59,11 +59,11 @@
   folder: string,
 ): Promise<subtree.SubtreeOutcome> {
   const sources = await readObjectSources(folder);
-  if (sources.length === 0) return refuseEmptyFolder(folder);
+  if (sources.length === 0) return rejectEmptyFolder(folder);
   return checkSources(sources);
 }
 
-/** Checks settings objects of any subtrees, each subtree by itself. */
+/** Checks settings objects of one or more subtrees, each subtree separately. */
 export function checkSources(
   sources: readonly objects.ObjectSource[],
 ): subtree.SubtreeOutcome {
--- a/packages/anvilhinge/src/settings/object_path.ts
+++ b/packages/anvilhinge/src/settings/object_path.ts
@@ -33,9 +33,9 @@
 
 /** Returns whether `text` has the form `/<half>/<team>`. */
 export function isSubtree(text: string): boolean {
-  const [root, half, team, ...rest] = text.split("/");
+  const [root, half, team, ...extraParts] = text.split("/");
   return root === "" && names.isHalf(half ?? "") && names.isName(team ?? "") &&
-    rest.length === 0;
+    extraParts.length === 0;
 }
 
 /** Formats the subtree of a path, `/<half>/<team>`. */
@@ -48,37 +48,37 @@
   return `${formatSubtree(path)}/${path.kind}/${path.name}`;
 }
 
-/** Parses `/<half>/<team>/<kind>/<name>`; the message says what is wrong. */
+/** Parses `/<half>/<team>/<kind>/<name>`; on failure the message is the reason. */
 export function parseSettingsPath(text: string): PathOutcome {
-  function refuse(reason: string): PathOutcome {
+  function reject(reason: string): PathOutcome {
     return {
       kind: "refused",
       message: `Settings path "${text}": ${reason}`,
     };
   }
-  if (!text.startsWith("/")) return refuse("expected a leading slash");
+  if (!text.startsWith("/")) return reject("expected a leading slash");
   const parts = text.slice(1).split("/");
   const missing = partNames.find((_, index) => !parts[index]);
   if (missing !== undefined) {
-    return refuse(
+    return reject(
       `the ${missing} is missing; expected /<half>/<team>/<kind>/<name>`,
     );
   }
   if (parts.length > partNames.length) {
-    return refuse("too many parts; expected /<half>/<team>/<kind>/<name>");
+    return reject("too many parts; expected /<half>/<team>/<kind>/<name>");
   }
   const [half, team, kind, name] = parts as [string, string, string, string];
   if (!names.isHalf(half)) {
     const hint = document.formatNameHint(half, names.halves);
-    return refuse(`unknown half "${half}". ${hint}`);
+    return reject(`unknown half "${half}". ${hint}`);
   }
   if (!isObjectKind(kind)) {
     const hint = document.formatNameHint(kind, objectKinds);
-    return refuse(`unknown kind "${kind}". ${hint}`);
+    return reject(`unknown kind "${kind}". ${hint}`);
   }
   for (const [label, part] of [["team", team], ["name", name]] as const) {
     if (names.isName(part)) continue;
-    return refuse(
+    return reject(
       `${label} "${part}" may contain only a-z, 0-9, _, . and -`,
     );
   }
--- a/packages/anvilhinge/src/settings/objects.ts
+++ b/packages/anvilhinge/src/settings/objects.ts
@@ -1,4 +1,4 @@
-/** Settings objects that operators place under paths, and their schemas. */
+/** Settings objects, which operators store under paths, and their schemas. */
 import * as zod from "zod";
 import * as document from "./document.ts";
 import * as names from "./names.ts";
@@ -33,12 +33,14 @@
 
 const limits = zod.strictObject({
   requestsPerSecond: zod.number().positive().describe(
-    "Requests admitted each second",
+    "Maximum number of requests admitted per second",
   ),
   tokensPerSecond: zod.number().positive().describe(
-    "Tokens generated each second",
+    "Maximum number of tokens generated per second",
+  ),
+  concurrency: zod.int().positive().describe(
+    "Maximum number of requests in progress at a time",
   ),
-  concurrency: zod.int().positive().describe("Requests in progress at once"),
 }).readonly();
 
 const workspace = zod.strictObject({
@@ -48,18 +50,18 @@
   services: zod.array(names.name).readonly().default([]).describe(
     "Services that callers may use. Default: none",
   ),
-  limits: limits.describe("Limits over all entries together"),
+  limits: limits.describe("Limits on the workspace's total over all entries"),
   priority: zod.int().min(0).max(leastUrgentPriority).default(defaultPriority)
     .describe("0 is the most urgent, 9 the least. Default: 4"),
   weight: zod.number().positive().default(1).describe(
-    "Share under overload among workspaces of one priority. Default: 1",
+    "Relative share under overload among workspaces of equal priority. Default: 1",
   ),
 }).readonly();
 
 const service = zod.strictObject({
   repeatableMethods: zod.array(zod.enum(methods)).readonly()
     .default(["GET", "HEAD", "OPTIONS"]).describe(
-      "Methods that are idempotent. Default: GET, HEAD, OPTIONS",
+      "Methods whose calls are idempotent. Default: GET, HEAD, OPTIONS",
     ),
   notRepeatable: zod.array(
     zod.strictObject({
@@ -80,22 +82,23 @@
     failureDomain: names.name.describe("Failure domain of the rank"),
     region: names.name.describe("Region of the failure domain"),
   }).readonly(),
-).min(1).max(maxRanks).readonly().describe("Upstreams in the order of rank");
+).min(1).max(maxRanks).readonly().describe("Upstreams, ordered by rank");
 
 const modelGroup = zod.strictObject({
   kind: zod.literal("model"),
   model: names.name.describe("Model that the group serves"),
   ranks,
   expertSlotsPerRank: zod.int().positive().describe(
-    "Experts that one rank holds in each layer",
+    "Number of experts that one rank holds in each layer",
   ),
-  layers: zod.int().positive().describe("Layers with experts"),
-  experts: zod.int().positive().describe("Experts in each layer"),
+  layers: zod.int().positive().describe("Number of layers with experts"),
+  experts: zod.int().positive().describe("Number of experts in each layer"),
 }).refine(
   (group) => group.ranks.length * group.expertSlotsPerRank >= group.experts,
   {
     path: ["expertSlotsPerRank"],
-    message: "The ranks together have fewer slots than a layer has experts",
+    message:
+      "The ranks together have fewer expert slots than a layer has experts",
   },
 );
 
@@ -104,7 +107,7 @@
   service: names.name.describe("Service that the group serves"),
   ranks: ranks.refine(
     (list) => list.length === 1,
-    "A group of kind service has exactly one rank",
+    'A group of kind "service" must have exactly one rank',
   ),
 });
 
@@ -113,32 +116,32 @@
 
 const model = zod.strictObject({
   maxTokens: zod.int().positive().describe(
-    "Most tokens that one answer may have",
+    "Maximum number of tokens of one answer",
   ),
   contextTokens: zod.int().positive().optional().describe(
-    "Most tokens of prompt and answer together. Default: not limited",
+    "Maximum number of tokens of prompt and answer together. Default: unlimited",
   ),
   timeoutMs: zod.int().positive().default(defaultTimeoutMs).describe(
-    "Deadline of a request that names none, in milliseconds. Default: 30000",
+    "Deadline of a request that does not set one, in milliseconds. Default: 30000",
   ),
 }).readonly();
 
-function createWeights(half: names.Half) {
+function createWeightsSchema(half: names.Half) {
   return zod.strictObject({
     skewWeight: zod.number().min(0).max(1).default(defaultSkewWeights[half])
       .describe(
-        "0 weighs only rebalancing cost, 1 only step-time skew. " +
+        "Weight of step-time skew against rebalancing cost: 0 considers only rebalancing cost, 1 only step-time skew. " +
           "Default: 0.25 for association, 0.75 for water_board",
       ),
   }).readonly();
 }
 
 const weights = {
-  association: createWeights("association"),
-  water_board: createWeights("water_board"),
+  association: createWeightsSchema("association"),
+  water_board: createWeightsSchema("water_board"),
 } as const;
 
-/** Schemas of the settings objects by kind; of weights, the association's. */
+/** Schemas of settings objects by kind; for weights, the association's schema. */
 export const objectSchemas: Readonly<
   Record<objectPath.ObjectKind, zod.ZodType>
 > = {
@@ -153,7 +156,7 @@
 export type Service = zod.output<typeof service>;
 export type Group = zod.output<typeof group>;
 export type Model = zod.output<typeof model>;
-export type Weights = zod.output<ReturnType<typeof createWeights>>;
+export type Weights = zod.output<ReturnType<typeof createWeightsSchema>>;
 
 /** Content of a settings object, by its kind. */
 export type ObjectContent =
@@ -163,7 +166,7 @@
   | { readonly kind: "models"; readonly value: Model }
   | { readonly kind: "weights"; readonly value: Weights };
 
-/** Checked settings object with the document that it came from. */
+/** Valid settings object with the document that it was parsed from. */
 export interface SettingsObject {
   readonly path: objectPath.SettingsPath;
   readonly content: ObjectContent;
@@ -178,7 +181,7 @@
   /** `/<half>/<team>/<kind>/<name>`. */
   readonly path: string;
   readonly text: string;
-  /** File that problems name; the path if there is none. */
+  /** File name shown in problems; by default the path. */
   readonly file?: string;
 }
 
@@ -188,7 +191,7 @@
     : objectSchemas[path.kind];
 }
 
-/** Checks one settings object; references are left to `checkSubtree`. */
+/** Checks one settings object; `checkSubtree` checks its references. */
 export function checkObject(
   path: string,
   text: string,
--- a/packages/anvilhinge/src/settings/objects_test.ts
+++ b/packages/anvilhinge/src/settings/objects_test.ts
@@ -12,13 +12,13 @@
   ["/association/drafting/models/A", 'name "A" may contain only'],
   ["/association/../models/a", 'team ".." may contain only'],
   ["/association/drafting/models/a/b", "too many parts"],
-])("the path %s is refused", (text, reason) => {
+])("the path %s is rejected", (text, reason) => {
   const outcome = objects.parseSettingsPath(text);
   expect(outcome.kind).toBe("refused");
   expect(outcome).toHaveProperty("message", expect.stringContaining(reason));
 });
 
-test("a valid path is parsed and formatted back", () => {
+test("a valid path is unchanged after parsing and formatting", () => {
   const text = "/water_board/drawings/groups/drawing-assistant-1";
   const outcome = objects.parseSettingsPath(text);
   if (outcome.kind !== "parsed") throw new Error(outcome.message);
@@ -43,13 +43,13 @@
     `"expertSlotsPerRank":8,"layers":1,"experts":${experts}${extra}}`;
 }
 
-test("a model group needs a slot for each expert", () => {
-  const at = "/association/a/groups/g";
-  expect(objects.checkObject(at, createGroup(8)).kind).toBe("valid");
-  expect(objects.checkObject(at, createGroup(9))).toMatchObject({
+test("a model group with fewer expert slots than experts is rejected", () => {
+  const groupPath = "/association/a/groups/g";
+  expect(objects.checkObject(groupPath, createGroup(8)).kind).toBe("valid");
+  expect(objects.checkObject(groupPath, createGroup(9))).toMatchObject({
     problems: [{ path: "expertSlotsPerRank" }],
   });
-  expect(objects.checkObject(at, createGroup(8, ',"layer":1')))
+  expect(objects.checkObject(groupPath, createGroup(8, ',"layer":1')))
     .toMatchObject({ problems: [{ hint: 'Did you mean "layers"?' }] });
 });
 
@@ -62,7 +62,7 @@
   text: `\n${createGroup(8)}`,
 };
 
-test("a reference must lead into the same subtree", () => {
+test("a reference to an object outside the subtree is rejected", () => {
   expect(subtree.checkSubtree([modelSource, groupSource]).kind).toBe("valid");
   expect(subtree.checkSubtree([groupSource])).toMatchObject({
     kind: "invalid",
@@ -73,19 +73,19 @@
       message: "/association/a/models/m does not exist",
     }],
   });
-  const other = { ...modelSource, path: "/association/b/models/m" };
-  const outcome = subtree.checkSubtree([groupSource, other]);
+  const foreignModel = { ...modelSource, path: "/association/b/models/m" };
+  const outcome = subtree.checkSubtree([groupSource, foreignModel]);
   expect(outcome.kind).toBe("invalid");
 });
 
-test("one agent serves one rank of a subtree", () => {
-  const second = { ...groupSource, path: "/association/a/groups/h" };
-  expect(subtree.checkSubtree([modelSource, groupSource, second]))
+test("an agent that serves two ranks of a subtree is rejected", () => {
+  const secondGroup = { ...groupSource, path: "/association/a/groups/h" };
+  expect(subtree.checkSubtree([modelSource, groupSource, secondGroup]))
     .toMatchObject({ problems: [{ path: "ranks[0].agent" }] });
 });
 
 test.each(["association", "water_board"])(
-  "the playground %s is valid and has the sizes of today",
+  "the playground %s is valid and has the expected number of objects",
   async (name) => {
     const folder = path.join(__dirname, "../../../../playground", name);
     const outcome = await objectFiles.loadObjectFiles(folder);
--- a/packages/anvilhinge/src/settings/process.ts
+++ b/packages/anvilhinge/src/settings/process.ts
@@ -1,6 +1,6 @@
 /**
- * Settings of one process: what an entry or an agent reads from its file at
- * the start. All addresses are IP numbers.
+ * Settings of one process, which an entry or an agent reads from its settings
+ * file at startup. Addresses of instances are IP addresses, not host names.
  */
 import * as zod from "zod";
 import * as document from "./document.ts";
@@ -14,7 +14,9 @@
 const maxRanks = 128;
 
 const address = zod.strictObject({
-  host: names.host.describe("IP number to listen on and to be reached at"),
+  host: names.host.describe(
+    "IP address to listen on, at which other processes reach this one",
+  ),
   port: names.port.describe("TCP port"),
 }).readonly();
 
@@ -25,23 +27,25 @@
 
 const tracing = zod.strictObject({
   exporter: zod.enum(["none", "console", "otlp"]).default("none").describe(
-    'Where spans go. Default: "none"',
+    'Exporter of spans. Default: "none"',
   ),
   endpoint: names.httpUrl.optional().describe(
-    "URL of the OTLP collector; required by the exporter otlp",
+    "URL of the OTLP collector; required by the otlp exporter",
   ),
 }).refine(
   (value) => value.exporter !== "otlp" || value.endpoint !== undefined,
-  { path: ["endpoint"], message: "The exporter otlp needs an endpoint" },
+  { path: ["endpoint"], message: "The otlp exporter requires an endpoint" },
 ).readonly();
 
 const log = zod.strictObject({
   level: zod.enum(["trace", "debug", "info", "warn", "error"]).default("info")
-    .describe('Least level that is written. Default: "info"'),
+    .describe(
+      'Minimum level of the log lines that are written. Default: "info"',
+    ),
 }).readonly();
 
 const operator = zod.strictObject({
-  name: names.name.describe("Name that the history of changes shows"),
+  name: names.name.describe("Name shown in the change history"),
   tokenSha256: zod.string().regex(
     /^[0-9a-f]{64}$/,
     "Expected a SHA-256 digest of 64 lower-case hexadecimal digits",
@@ -58,23 +62,25 @@
 export const entrySchema = zod.strictObject({
   id: names.name.describe("Id of the instance, unique in the system"),
   half: names.half.describe("Half that runs the instance"),
-  address: address.describe("Address for callers and operators"),
-  controlAddress: address.describe("Address for agents and other entries"),
+  address: address.describe("Address that callers and operators connect to"),
+  controlAddress: address.describe(
+    "Address that agents and other entries connect to",
+  ),
   failureDomain: names.name.describe("Failure domain of the instance"),
   region: names.name.describe("Region of the failure domain"),
-  platform: platform.describe("Services of the platform"),
+  platform: platform.describe("Platform services that the process uses"),
   addressAnswerTtlMs: zod.int().min(100).max(maxAddressAnswerTtlMs)
     .default(defaultAddressAnswerTtlMs).describe(
-      "How long callers keep an address answer, in milliseconds. Default: 5000",
+      "Time for which callers may cache an address answer, in milliseconds. Default: 5000",
     ),
   requestBodyLimitBytes: zod.int().min(1).max(maxRequestBodyLimitBytes)
     .default(defaultRequestBodyLimitBytes).describe(
-      "Largest request body in bytes. Default: 4194304",
+      "Maximum size of a request body in bytes. Default: 4194304",
     ),
-  tracing: tracing.prefault({}).describe("Traces. Default: none"),
-  log: log.prefault({}).describe("Logs"),
+  tracing: tracing.prefault({}).describe("Export of traces. Default: none"),
+  log: log.prefault({}).describe("Logging"),
   operators: zod.array(operator).readonly().default([]).describe(
-    "Who may change settings. Default: nobody",
+    "Operators who may change settings. Default: none",
   ),
 }).readonly();
 
@@ -82,23 +88,25 @@
 export const agentSchema = zod.strictObject({
   id: names.name.describe("Id of the instance, unique in the system"),
   group: names.name.describe("Group that the upstream belongs to"),
-  rank: zod.int().min(0).max(maxRanks - 1).describe("Rank inside the group"),
-  address: address.describe("Address for entries"),
+  rank: zod.int().min(0).max(maxRanks - 1).describe("Rank within the group"),
+  address: address.describe("Address that entries connect to"),
   failureDomain: names.name.describe("Failure domain of the instance"),
   region: names.name.describe("Region of the failure domain"),
   entries: zod.array(names.hostPort).min(1).readonly().describe(
-    "Control addresses of entries to connect to first",
+    "Control addresses of the entries to connect to at startup",
   ),
-  platform: platform.describe("Services of the platform"),
+  platform: platform.describe("Platform services that the process uses"),
   engine: zod.strictObject({
     url: names.httpUrl.describe("Base URL of the engine or plain service"),
-    kind: zod.enum(["model", "service"]).describe("What stands behind the URL"),
+    kind: zod.enum(["model", "service"]).describe(
+      "Type of the process behind the URL: model engine or plain service",
+    ),
     checksFencing: zod.boolean().default(false).describe(
-      "Whether the engine refuses lower fencing numbers. Default: false",
+      "Whether the engine rejects fencing numbers lower than one it has seen. Default: false",
     ),
-  }).readonly().describe("Process that the agent stands beside"),
-  tracing: tracing.prefault({}).describe("Traces. Default: none"),
-  log: log.prefault({}).describe("Logs"),
+  }).readonly().describe("Process that the agent runs next to"),
+  tracing: tracing.prefault({}).describe("Export of traces. Default: none"),
+  log: log.prefault({}).describe("Logging"),
 }).readonly();
 
 export type EntrySettings = zod.output<typeof entrySchema>;
@@ -106,7 +114,7 @@
 export type TracingSettings = EntrySettings["tracing"];
 export type LogLevel = EntrySettings["log"]["level"];
 
-/** Resolves the text of an entry's settings file, with defaults filled in. */
+/** Checks the text of an entry's settings file and fills in defaults. */
 export function resolveEntrySettings(
   text: string,
   options: document.DocumentOptions,
@@ -114,7 +122,7 @@
   return document.checkText(text, { ...options, schema: entrySchema });
 }
 
-/** Resolves the text of an agent's settings file, with defaults filled in. */
+/** Checks the text of an agent's settings file and fills in defaults. */
 export function resolveAgentSettings(
   text: string,
   options: document.DocumentOptions,
--- a/packages/anvilhinge/src/settings/process_test.ts
+++ b/packages/anvilhinge/src/settings/process_test.ts
@@ -20,7 +20,7 @@
   return process.resolveEntrySettings(text, { file: "entry.jsonc" });
 }
 
-test("entry settings are completed with defaults", () => {
+test("defaults are filled in for omitted keys of an entry", () => {
   expect(resolveEntry({})).toMatchObject({
     kind: "valid",
     settings: {
@@ -47,14 +47,14 @@
       subtrees: ["/association"],
     }],
   }, "operators[0].subtrees[0]"],
-])("wrong entry settings are refused: %j", (changes, path) => {
+])("invalid entry settings are rejected: %j", (changes, path) => {
   const outcome = resolveEntry(changes);
   if (outcome.kind === "valid") throw new Error("Expected problems");
   expect(outcome.problems.map((problem) => problem.path.startsWith(path)))
     .toEqual([true]);
 });
 
-test("a missing key and an unknown value are named", () => {
+test("a missing key is named, and an unknown value gets a suggestion", () => {
   expect(resolveEntry({ half: "asociation", region: undefined })).toMatchObject(
     {
       problems: [
@@ -65,7 +65,7 @@
   );
 });
 
-test("agent settings name entries by IP number", () => {
+test("agent settings accept entries by IP address only", () => {
   const agent = {
     ...{ id: "agent-1", group: "g", rank: 0, platform },
     ...{ address: entry.address, failureDomain: "milan_a", region: "lombardy" },
--- a/packages/anvilhinge/src/settings/record.ts
+++ b/packages/anvilhinge/src/settings/record.ts
@@ -1,23 +1,26 @@
-/** A settings object as the object API keeps it, with its recent history. */
+/** Stored form of a settings object in the object API, with its recent history. */
 import * as zod from "zod";
 import * as objectPath from "./object_path.ts";
 
 /** Prefix of the keys of settings objects in the object API. */
 export const settingsPrefix = "settings";
 
-/** Changes that one record remembers. */
+/** Changes that the history of one record keeps. */
 export const maxHistoryChanges = 20;
 
 const change = zod.object({
   changeId: zod.string().min(1),
   author: zod.string(),
-  /** ISO 8601 instant by the clock of the entry that accepted it. */
+  /** ISO 8601 time by the clock of the entry that accepted the change. */
   at: zod.string(),
-  /** Version of the object before this change; 0 = it did not exist. */
+  /** Version of the object before this change; 0 = the object did not exist. */
   previousVersion: zod.int().min(0),
-  /** Digest of the text, which tells a repeated change from another one. */
+  /** Digest of the text; distinguishes a repeated change from a different one. */
   textDigest: zod.string().optional(),
-  /** Lost change that this one rules out; the text is as before. */
+  /**
+   * Id of a change whose outcome is unknown and which this change prevents from
+   * taking effect later; the text is unchanged.
+   */
   fences: zod.string().optional(),
 }).readonly();
 
@@ -26,7 +29,7 @@
   changes: zod.array(change).min(1).readonly(),
   /**
    * True when only a fence was written: the settings object does not exist, but
-   * its key must, because the lost write waits for a key that doesn't.
+   * its key must, so that the lost write, which requires an absent key, fails.
    */
   isAbsent: zod.boolean().optional(),
 }).readonly();
@@ -34,7 +37,7 @@
 /** One accepted change. */
 export type Change = zod.output<typeof change>;
 
-/** Text of a settings object and its changes, the latest first. */
+/** Text of a settings object and its changes, latest first. */
 export type SettingsRecord = zod.output<typeof schema>;
 
 /** Parses a stored value; undefined when it is not a settings record. */
@@ -43,7 +46,7 @@
   return result.success ? result.data : undefined;
 }
 
-/** Builds the record that follows `previous` by one change. */
+/** Builds the record that results from applying a change to `previous`. */
 export function buildRecord(
   previous: SettingsRecord | undefined,
   next: { readonly text: string; readonly change: Change },
@@ -52,7 +55,7 @@
   return { text: next.text, changes: changes.slice(0, maxHistoryChanges) };
 }
 
-/** Builds the record that rules out the lost change `next.fences`. */
+/** Builds the record that prevents the change `next.fences` from taking effect. */
 export function buildFenceRecord(
   previous: SettingsRecord | undefined,
   next: Change,
@@ -63,18 +66,18 @@
   return isAbsent ? { ...fenced, isAbsent } : fenced;
 }
 
-/** Returns the record unless it stands for an object that does not exist. */
+/** Parses a stored value; undefined when its settings object does not exist. */
 export function parsePresentRecord(value: unknown): SettingsRecord | undefined {
   const parsed = parseRecord(value);
   return parsed?.isAbsent ? undefined : parsed;
 }
 
-/** Returns the key in the object API of `/<half>/<team>/<kind>/<name>`. */
+/** Returns the object API key of `/<half>/<team>/<kind>/<name>`. */
 export function formatKey(path: string): string {
   return `${settingsPrefix}${path}`;
 }
 
-/** Returns the settings path of a key; undefined for keys of other kinds. */
+/** Returns the settings path of a key; undefined for other keys. */
 export function parseKey(key: string): string | undefined {
   if (!key.startsWith(`${settingsPrefix}/`)) return undefined;
   const path = key.slice(settingsPrefix.length);
--- a/packages/anvilhinge/src/settings/reload.ts
+++ b/packages/anvilhinge/src/settings/reload.ts
@@ -1,4 +1,4 @@
-/** Takes changed settings over into a running process, as far as it can. */
+/** Applies changed settings to a running process, except keys that need a restart. */
 import type * as logger from "../telemetry/logger.ts";
 import * as documentText from "./document_text.ts";
 import type * as process from "./process.ts";
@@ -7,11 +7,11 @@
   | documentText.CheckOutcome<Settings>
   | { readonly kind: "unreadable"; readonly message: string };
 
-/** Where changed settings come from. */
+/** Source of changed settings. */
 export interface SettingsReloader<Settings> {
   /** Reads and checks the settings file. */
   read(): ReloadOutcome<Settings>;
-  /** Calls the listener each time that the file is said to have changed. */
+  /** Sets the listener that is called when the file is reported as changed. */
   onReload(listener: () => void): void;
 }
 
@@ -23,12 +23,12 @@
   readonly settings: Settings;
   readonly reload: SettingsReloader<Settings>;
   readonly logger: logger.LeveledLogger;
-  /** Keys besides `log` that `apply` takes over. */
+  /** Keys besides `log` that `apply` changes without a restart. */
   readonly reloadableKeys: readonly (keyof Settings)[];
   readonly apply: (settings: Settings) => void;
 }
 
-/** Lists the keys of the top level whose values differ. */
+/** Lists the top-level keys whose values differ. */
 export function listChangedKeys<Settings extends object>(
   before: Settings,
   after: Settings,
@@ -39,13 +39,19 @@
   );
 }
 
-/** Follows the settings of a running process; bad ones change nothing. */
+/**
+ * Applies the settings anew on each reload. If they are unreadable or invalid,
+ * the current settings stay in force.
+ */
 export function followSettings<Settings extends Reloadable>(
   { settings, reload, logger: log, ...options }: FollowSettingsOptions<
     Settings
   >,
 ): void {
-  const taken: readonly (keyof Settings)[] = ["log", ...options.reloadableKeys];
+  const keysWithoutRestart: readonly (keyof Settings)[] = [
+    "log",
+    ...options.reloadableKeys,
+  ];
   let current = settings;
   reload.onReload(() => {
     const checked = reload.read();
@@ -53,16 +59,18 @@
       const reason = checked.kind === "invalid"
         ? documentText.formatProblems(checked.problems)
         : checked.message;
-      log.error("Keeps its settings: the new ones can't be used", { reason });
+      log.error("Could not reload settings; keeping the current ones", {
+        reason,
+      });
       return;
     }
     const changed = listChangedKeys(current, checked.settings);
     log.setLevel(checked.settings.log.level);
     options.apply(checked.settings);
     current = checked.settings;
-    log.info("Read its settings again", {
-      applied: changed.filter((key) => taken.includes(key)),
-      needsRestart: changed.filter((key) => !taken.includes(key)),
+    log.info("Reloaded settings", {
+      applied: changed.filter((key) => keysWithoutRestart.includes(key)),
+      needsRestart: changed.filter((key) => !keysWithoutRestart.includes(key)),
     });
   });
 }
--- a/packages/anvilhinge/src/settings/reload_test.ts
+++ b/packages/anvilhinge/src/settings/reload_test.ts
@@ -7,29 +7,36 @@
   readonly log: { readonly level: "info" | "debug" };
 }
 
-const first: Settings = { id: "a", seeds: ["s1"], log: { level: "info" } };
+const initialSettings: Settings = {
+  id: "a",
+  seeds: ["s1"],
+  log: { level: "info" },
+};
 
 function createSetup() {
-  let ask = () => {};
-  let next: reload.ReloadOutcome<Settings> = {
+  let requestReload = () => {};
+  let nextOutcome: reload.ReloadOutcome<Settings> = {
     kind: "valid",
-    settings: first,
+    settings: initialSettings,
   };
   const lines: unknown[] = [];
   const levels: string[] = [];
   const applied: Settings[] = [];
-  const note = (message: string, fields?: unknown) =>
+  const recordLine = (message: string, fields?: unknown) =>
     void lines.push([message, fields]);
   reload.followSettings<Settings>({
-    settings: first,
-    reload: { read: () => next, onReload: (listener) => (ask = listener) },
+    settings: initialSettings,
+    reload: {
+      read: () => nextOutcome,
+      onReload: (listener) => (requestReload = listener),
+    },
     logger: {
-      debug: note,
-      info: note,
-      warn: note,
-      error: note,
-      infoRateLimited: note,
-      warnOnce: note,
+      debug: recordLine,
+      info: recordLine,
+      warn: recordLine,
+      error: recordLine,
+      infoRateLimited: recordLine,
+      warnOnce: recordLine,
       setLevel: (level) => void levels.push(level),
     },
     reloadableKeys: ["seeds"],
@@ -40,13 +47,13 @@
     levels,
     applied,
     change(outcome: reload.ReloadOutcome<Settings>) {
-      next = outcome;
-      ask();
+      nextOutcome = outcome;
+      requestReload();
     },
   };
 }
 
-test("takes over what it can and says what needs a restart", () => {
+test("applies reloadable keys and logs the keys that need a restart", () => {
   const setup = createSetup();
   const settings: Settings = {
     id: "b",
@@ -57,17 +64,17 @@
   expect(setup.levels).toEqual(["debug"]);
   expect(setup.applied).toEqual([settings]);
   expect(setup.lines).toEqual([[
-    "Read its settings again",
+    "Reloaded settings",
     { applied: ["seeds", "log"], needsRestart: ["id"] },
   ]]);
   setup.change({ kind: "valid", settings });
   expect(setup.lines[1]).toEqual([
-    "Read its settings again",
+    "Reloaded settings",
     { applied: [], needsRestart: [] },
   ]);
 });
 
-test("keeps its settings when the new ones are not valid, and says why", () => {
+test("keeps the current settings when the new ones are invalid, and logs the reason", () => {
   const setup = createSetup();
   setup.change({
     kind: "invalid",
@@ -82,17 +89,17 @@
   expect(setup.applied).toEqual([]);
   expect(setup.levels).toEqual([]);
   expect(setup.lines).toEqual([[
-    "Keeps its settings: the new ones can't be used",
+    "Could not reload settings; keeping the current ones",
     { reason: expect.stringContaining("entry.jsonc") },
   ]]);
 });
 
-test("keeps its settings when the file is gone", () => {
+test("keeps the current settings when the file can't be read", () => {
   const setup = createSetup();
   setup.change({ kind: "unreadable", message: "ENOENT" });
   expect(setup.applied).toEqual([]);
   expect(setup.lines).toEqual([[
-    "Keeps its settings: the new ones can't be used",
+    "Could not reload settings; keeping the current ones",
     { reason: "ENOENT" },
   ]]);
 });
--- a/packages/anvilhinge/src/settings/routed_process.ts
+++ b/packages/anvilhinge/src/settings/routed_process.ts
@@ -1,6 +1,6 @@
 /**
- * Settings of one process before routed services: what an entry reads from its
- * file at the start and again when it is told that the file changed.
+ * Settings of one process that serves routed services. The process reads them
+ * from its settings file at startup, and again when it is notified of a change.
  */
 import * as zod from "zod/mini";
 import * as documentText from "./document_text.ts";
@@ -19,7 +19,7 @@
 
 const hostPort = zod.string().check(
   zod.refine(isHostPort, {
-    error: 'Expected an IP number and a port such as "127.0.0.1:7000"',
+    error: 'Expected an IP address and a port such as "127.0.0.1:7000"',
   }),
 );
 const milliseconds = zod.number().check(
@@ -27,28 +27,28 @@
 );
 
 const bounds = zod.object({
-  /** Longest time that callers keep an address answer. */
+  /** Time for which callers may cache an address answer. */
   addressAnswerTtlMs: milliseconds,
-  /** Time from the request to stop to the forced end. */
+  /** Time from the stop request to the forced end of the process. */
   stopMs: milliseconds,
-  /** Time within which a key that was taken away must stop everywhere. */
+  /** Time within which all entries must stop accepting a revoked key. */
   revocationMs: milliseconds,
-  /** Retries for each request to a service, over all instances. */
+  /** Retries allowed per request to a service, over all instances. */
   retryShare: zod.number(),
   retryWindowMs: milliseconds,
-  /** Retries in a window besides the share, over all instances. */
+  /** Retries allowed per window beyond `retryShare`, over all instances. */
   retryExtra: zod.number(),
 });
 
-const shared = {
+const commonFields = {
   id: zod.string(),
   failureDomain: zod.string(),
   region: zod.string(),
-  /** Address for datagrams of the other processes. */
+  /** Address for datagrams from the other processes. */
   peers: hostPort,
-  /** Addresses of up to three entries; the port is not used. */
+  /** Addresses of up to three entries; their ports are not used. */
   seeds: zod.array(hostPort),
-  /** Address of the platform's store. */
+  /** Address of the platform's object store. */
   store: hostPort,
   /** True when the whole system starts for the first time. */
   isFirstStart: zod.boolean(),
@@ -58,21 +58,21 @@
 };
 
 const entrySchema = zod.object({
-  ...shared,
-  /** Address for callers. */
+  ...commonFields,
+  /** Address that callers connect to. */
   callers: hostPort,
-  /** Address at which the platform asks whether the entry is ready. */
+  /** Address of the readiness endpoint, which the platform polls. */
   readiness: hostPort,
-  /** Address for callers that ask where to connect. */
+  /** Address of the directory, where callers look up addresses of entries. */
   directory: hostPort,
-  /** Address at which the process shows its metrics. */
+  /** Address of the metrics endpoint. */
   metrics: hostPort,
   bounds,
 });
 
 const agentSchema = zod.object({
-  ...shared,
-  /** Address of the upstream beside which the agent runs. */
+  ...commonFields,
+  /** Address of the upstream that the agent runs next to. */
   upstream: hostPort,
   /** Name of the service that the upstream belongs to. */
   service: zod.string(),
@@ -83,7 +83,7 @@
 
 type Schema<Settings> = zod.ZodMiniType<Settings>;
 
-/** Resolves a text; keys that the schema doesn't know are left out. */
+/** Parses and checks a text; keys that are not in the schema are dropped. */
 function resolve<Settings>(
   text: string,
   { file, schema }: documentText.DocumentOptions & {
@@ -97,14 +97,14 @@
   if (checked.success) return { kind: "valid", settings: checked.data };
   const problems = checked.error.issues.map((issue) => {
     const path = issue.path as documentText.DocumentPath;
-    const found = documentText.getValue(document.value, path);
-    const description = documentText.describeIssue(issue, found);
+    const value = documentText.getValue(document.value, path);
+    const description = documentText.describeIssue(issue, value);
     return documentText.createProblem(document, { file, path, ...description });
   });
   return { kind: "invalid", problems };
 }
 
-/** Resolves the text of an entry's settings file. */
+/** Parses and checks the text of an entry's settings file. */
 export function resolveEntrySettings(
   text: string,
   options: documentText.DocumentOptions,
@@ -112,7 +112,7 @@
   return resolve(text, { ...options, schema: entrySchema });
 }
 
-/** Resolves the text of an agent's settings file. */
+/** Parses and checks the text of an agent's settings file. */
 export function resolveAgentSettings(
   text: string,
   options: documentText.DocumentOptions,
--- a/packages/anvilhinge/src/settings/routing.ts
+++ b/packages/anvilhinge/src/settings/routing.ts
@@ -1,22 +1,22 @@
 /**
- * Routing settings: which service serves a path, how its requests may be
- * repeated, and which keys belong to which workspace. One value holds all
- * routes of a deployment and has one version.
+ * Routing settings: which service serves a path, whether its requests may be
+ * retried, and which keys belong to which workspace. A single versioned value
+ * contains all routes of a deployment.
  */
 
-/** What may be repeated of the requests of a route. */
+/** Whether the requests of a route may be retried. */
 export type RouteKind =
-  /** May run more than once. */
+  /** A request may run more than once. */
   | "safe"
-  /** May run at most once. */
+  /** A request may run at most once. */
   | "unsafe"
-  /** Answered with a series of events. */
+  /** A request is answered with a stream of events. */
   | "stream";
 
-/** Part of a route's requests that goes to one service. */
+/** Service that receives a share of a route's requests. */
 export interface RouteTarget {
   readonly service: string;
-  /** Share relative to the other targets. */
+  /** Size of the share relative to the other targets. */
   readonly weight: number;
 }
 
@@ -28,70 +28,70 @@
   readonly pathPrefix: string;
   readonly kind: RouteKind;
   readonly targets: readonly RouteTarget[];
-  /** Most upstreams that one request may be sent to. */
+  /** Maximum number of upstreams that one request may be dispatched to. */
   readonly maxUpstreams: number;
-  /** Longest time that a caller is kept waiting, in milliseconds. */
+  /** Maximum time that a caller is kept waiting, in milliseconds. */
   readonly timeoutMs: number;
-  /** Time to the answer, or to its first event, that callers aim at. */
+  /** Latency target for the answer or, of a stream, for its first event. */
   readonly latencyTargetMs: number;
-  /** Longest pause between events that callers aim at; streams only. */
+  /** Target for the longest pause between events; streams only. */
   readonly gapTargetMs: number | undefined;
   /** 0 is the most urgent. */
   readonly priority: number;
-  /** True when no key is needed. */
+  /** True when requests need no key. */
   readonly isPublic: boolean;
-  /** True when a stream may go on at another upstream. */
+  /** True when another upstream can resume an interrupted stream. */
   readonly isResumable: boolean;
 }
 
-/** What is known of a service's engines; plain services have none. */
+/** Capacity and speed of a service's engines; plain services have none. */
 export interface EngineSpec {
-  /** Requests that one rank works on at once. */
+  /** Requests that one rank processes concurrently. */
   readonly slots: number;
-  /** Tokens that fit into one rank's memory. */
+  /** Tokens that fit into one rank's KV cache. */
   readonly memoryTokens: number;
-  /** Token steps of one pass. */
+  /** Token steps of one forward pass. */
   readonly stepsPerPass: number;
   readonly stepMs: number;
-  /** Time that each writing request adds to a step. */
+  /** Time that each decoding request adds to a step. */
   readonly perSequenceMs: number;
   /** Time that 1,000 tokens of context add to a step. */
   readonly contextMsPerKilotoken: number;
   readonly prefillTokensPerMs: number;
-  /** Prompt tokens that one step reads at most. */
+  /** Maximum number of prompt tokens processed in one step. */
   readonly prefillChunkTokens: number;
   readonly usualPromptTokens: number;
   readonly usualAnswerTokens: number;
-  /** Age that reports have that are read from another machine. */
+  /** Age of an engine's reports when read from another machine. */
   readonly reportLagMs: number;
-  /** Undefined where the ranks don't share experts. */
+  /** Undefined when the ranks don't share experts. */
   readonly experts: ExpertSpec | undefined;
 }
 
-/** How the experts of a group are spread over its ranks. */
+/** How the experts of a group are distributed over its ranks. */
 export interface ExpertSpec {
-  /** Sets of layers; each has experts of its own. */
+  /** Sets of layers; each set has its own experts. */
   readonly sets: number;
   readonly expertsPerSet: number;
   /** Experts of one set that a rank can hold. */
   readonly slotsPerRank: number;
-  /** Experts of one set that a rank can take over in one change. */
+  /** Experts of one set that a rank can newly load in one map change. */
   readonly maxNewPerRank: number;
   readonly expertMegabytes: number;
   readonly linkMegabitsPerSecond: number;
-  /** Share of the work for tokens that experts do, from 0 to 1. */
+  /** Fraction of the work for a token that experts do, from 0 to 1. */
   readonly workShare: number;
 }
 
 export interface ServiceSpec {
   readonly name: string;
   readonly healthPath: string;
-  /** Connections that one upstream accepts from all callers together. */
+  /** Connections that one upstream accepts from all its clients together. */
   readonly maxConnections: number;
   readonly engine: EngineSpec | undefined;
 }
 
-/** Bounds of what a caller may send. */
+/** Limits on the requests of callers. */
 export interface CallerLimits {
   readonly headerBytes: number;
   readonly bodyBytes: number;
@@ -102,7 +102,7 @@
 export interface WorkspaceKeys {
   readonly name: string;
   readonly keys: readonly string[];
-  /** Goes before the priority of the route. */
+  /** Overrides the priority of the route. */
   readonly priority: number | undefined;
 }
 
@@ -115,16 +115,16 @@
   readonly workspaces: readonly WorkspaceKeys[];
 }
 
-/** An upstream of a service as the platform lists it. */
+/** Upstream of a service, as listed by the platform. */
 export interface ListedUpstream {
   readonly id: string;
   readonly service: string;
   /** Address as `host:port`. */
   readonly address: string;
   readonly failureDomain: string;
-  /** Requests that it works on at once. */
+  /** Requests that the upstream processes concurrently. */
   readonly slots: number;
   readonly state: "serving" | "leaving";
-  /** Wall-clock instant of its start; another one is another incarnation. */
+  /** Wall-clock time of the start; a different time is a different incarnation. */
   readonly startedAtMs: number | undefined;
 }
--- a/packages/anvilhinge/src/settings/subtree.ts
+++ b/packages/anvilhinge/src/settings/subtree.ts
@@ -1,6 +1,6 @@
 /**
- * Checks of one subtree as a whole: every reference must lead to an object of
- * the same subtree. Nothing here reads another subtree.
+ * Checks the objects of one subtree together: every reference must resolve to
+ * an object of the same subtree. Other subtrees are never read.
  */
 import * as document from "./document.ts";
 import * as objectPath from "./object_path.ts";
@@ -50,16 +50,16 @@
 ): readonly document.Problem[] {
   const { file } = object;
   return listReferences(object).flatMap(({ kind, name, path }) => {
-    const known = all.filter((other) => other.path.kind === kind)
+    const existingNames = all.filter((other) => other.path.kind === kind)
       .map((other) => other.path.name);
-    if (known.includes(name)) return [];
+    if (existingNames.includes(name)) return [];
     const target = objectPath.formatSettingsPath({
       ...object.path,
       kind,
       name,
     });
     const message = `${target} does not exist`;
-    const hint = document.formatNameHint(name, known);
+    const hint = document.formatNameHint(name, existingNames);
     return [
       document.createProblem(object.document, { file, path, message, hint }),
     ];
@@ -69,17 +69,17 @@
 function checkAgents(
   all: readonly objects.SettingsObject[],
 ): readonly document.Problem[] {
-  const owners = new Map<string, string>();
+  const groupNameByAgent = new Map<string, string>();
   return all.flatMap((object) => {
     const { content, file } = object;
     if (content.kind !== "groups") return [];
     return content.value.ranks.flatMap(({ agent }, index) => {
-      const owner = owners.get(agent);
-      owners.set(agent, owner ?? object.path.name);
-      if (owner === undefined) return [];
+      const groupName = groupNameByAgent.get(agent);
+      groupNameByAgent.set(agent, groupName ?? object.path.name);
+      if (groupName === undefined) return [];
       const path = ["ranks", index, "agent"];
       const message =
-        `Agent ${agent} already serves a rank of group "${owner}"`;
+        `Agent ${agent} already serves a rank of group "${groupName}"`;
       return [document.createProblem(object.document, { file, path, message })];
     });
   });
@@ -89,22 +89,23 @@
   object: objects.SettingsObject,
   others: readonly objects.SettingsObject[],
 ): readonly document.Problem[] {
-  // The object goes last, so that the problems found in it are its own.
+  // A duplicate agent is reported at its later use, so the checked object comes
+  // last for its own duplicates to be reported in it.
   return checkAgents([...others, object]).filter(({ file }) =>
     file === object.file
   );
 }
 
 /**
- * Checks one object against the present objects of its subtree: problems of the
- * others don't count.
+ * Checks one object against the existing objects of its subtree. Problems of
+ * the other objects are not reported.
  */
 export function checkAgainstSubtree(
   object: objects.SettingsObject,
-  present: readonly objects.SettingsObject[],
+  existing: readonly objects.SettingsObject[],
 ): SubtreeOutcome {
   const path = objectPath.formatSettingsPath(object.path);
-  const others = present.filter((other) =>
+  const others = existing.filter((other) =>
     objectPath.formatSettingsPath(other.path) !== path
   );
   const problems = [
@@ -128,13 +129,13 @@
       document.createProblem(object.document, {
         file: object.file,
         path: [],
-        message: `The object is not part of the subtree ${subtree}`,
-        hint: "Check each subtree by itself",
+        message: `The object does not belong to the subtree ${subtree}`,
+        hint: "Check each subtree separately",
       })
     );
 }
 
-/** Checks all objects of one subtree, then their references. */
+/** Checks all objects of one subtree, then their references and agents. */
 export function checkSubtree(
   sources: readonly objects.ObjectSource[],
 ): SubtreeOutcome {
--- a/packages/anvilhinge/src/shutdown.ts
+++ b/packages/anvilhinge/src/shutdown.ts
@@ -1,6 +1,6 @@
 /**
- * Shutdown by signals: the first asks for a graceful stop, the second ends the
- * process at once and says what it cuts.
+ * Shutdown on signals: the first signal starts a graceful shutdown, the second
+ * ends the process at once and reports the work that is cut off.
  */
 
 export interface ShutdownOptions {
@@ -9,17 +9,17 @@
 }
 
 export interface Shutdown {
-  /** Aborts at the first signal. */
+  /** Aborted at the first signal. */
   readonly signal: AbortSignal;
   handleSignal(): void;
-  /** Sets the function that names the work in progress. */
+  /** Sets the function that describes the work in progress. */
   setWorkDescription(describeWork: () => string): void;
 }
 
-/** Exit code of a process that cut its work. */
+/** Exit code of a process that ended before its work was complete. */
 export const forcedExitCode = 1;
 
-/** Creates the state of a process that was not asked to stop. */
+/** Creates the signal handler of a process and the signal that it aborts. */
 export function createShutdown(options: ShutdownOptions): Shutdown {
   const controller = new AbortController();
   let describeWork = () => "nothing";
--- a/packages/anvilhinge/src/shutdown_test.ts
+++ b/packages/anvilhinge/src/shutdown_test.ts
@@ -1,17 +1,17 @@
 import * as shutdown from "./shutdown.ts";
 
-test("the first signal asks, the second ends and says what was cut", () => {
+test("the first signal starts a graceful shutdown, the second exits and reports the cut work", () => {
   const written: string[] = [];
-  const codes: number[] = [];
-  const asked = shutdown.createShutdown({
+  const exitCodes: number[] = [];
+  const processShutdown = shutdown.createShutdown({
     writeError: (text) => void written.push(text),
-    exit: (code) => void codes.push(code),
+    exit: (code) => void exitCodes.push(code),
   });
-  asked.setWorkDescription(() => "3 requests");
-  asked.handleSignal();
-  expect(asked.signal.aborted).toBe(true);
-  expect(codes).toEqual([]);
-  asked.handleSignal();
-  expect(codes).toEqual([shutdown.forcedExitCode]);
+  processShutdown.setWorkDescription(() => "3 requests");
+  processShutdown.handleSignal();
+  expect(processShutdown.signal.aborted).toBe(true);
+  expect(exitCodes).toEqual([]);
+  processShutdown.handleSignal();
+  expect(exitCodes).toEqual([shutdown.forcedExitCode]);
   expect(written).toEqual(["Ends at once and cuts 3 requests\n"]);
 });
