--- a/packages/anvilhinge/src/cli/apply.ts
+++ b/packages/anvilhinge/src/cli/apply.ts
@@ -1,4 +1,4 @@
-/** The command `apply`: shows the difference, then writes conditionally. */
+/** The command `apply`: shows the difference, then writes under a condition. */
 import * as objects from "../settings/objects.ts";
 import * as client from "./client.ts";
 import * as diff from "./diff.ts";
@@ -13,12 +13,12 @@
   /** Version that the object must have; 0 = it must not exist. */
   readonly ifVersion?: number;
   readonly dryRun: boolean;
-  /** Id by which the outcome of a lost answer is found again. */
+  /** Id of the change, by which its outcome is looked up if the answer is lost. */
   readonly changeId: string;
   readonly showDiff: (text: string) => void;
 }
 
-interface Present {
+interface CurrentObject {
   readonly kind: "present";
   readonly version: number;
   readonly text: string;
@@ -26,24 +26,24 @@
 
 type Failure = Exclude<client.RequestOutcome, client.EntryResponse>;
 
-const missing: Present = { kind: "present", version: 0, text: "" };
+const absentObject: CurrentObject = { kind: "present", version: 0, text: "" };
 
-/** Parses an entity tag such as `"12"`; undefined when it is no version. */
+/** Parses an entity tag such as `"12"`; undefined when it is not a version. */
 export function parseVersion(etag: string | null): number | undefined {
   const digits = /^"([1-9]\d*)"$/.exec(etag ?? "")?.[1];
   return digits === undefined ? undefined : Number(digits);
 }
 
-/** Reads the present version and text of an object. */
-async function readPresent(
+/** Reads the current version and text of an object. */
+async function readCurrentObject(
   { client, path }: ApplyOptions,
-): Promise<Present | Failure> {
+): Promise<CurrentObject | Failure> {
   const reply = await client.request(`/settings${path}`);
-  if (reply.kind === "refused" && reply.status === 404) return missing;
+  if (reply.kind === "refused" && reply.status === 404) return absentObject;
   if (reply.kind !== "answered") return reply;
   const version = parseVersion(reply.etag);
   if (version === undefined) {
-    const message = `The entry sent no version of ${path}`;
+    const message = `The entry returned no version of ${path}`;
     return { kind: "unreachable", message };
   }
   return { kind: "present", version, text: reply.text };
@@ -55,7 +55,7 @@
     : { "if-match": `"${version}"` };
 }
 
-/** Asks once what became of a change whose answer was lost. */
+/** Looks up, once, the outcome of a change whose answer was lost. */
 async function resolveLostAnswer(
   { client: entry, path, changeId }: ApplyOptions,
   lost: Failure & { readonly kind: "unknown" },
@@ -67,7 +67,7 @@
     readonly outcome?: string;
     readonly version?: number;
   };
-  if (result === "accepted") return createDone({ path, version, changeId });
+  if (result === "accepted") return createSuccess({ path, version, changeId });
   if (result === "not_accepted") {
     const message = `The change ${changeId} was not accepted. Apply it again`;
     return { kind: "refused", message };
@@ -80,7 +80,7 @@
   };
 }
 
-function createDone(
+function createSuccess(
   data: {
     readonly path: string;
     readonly version?: number;
@@ -104,10 +104,10 @@
   if (reply.kind === "unknown") return resolveLostAnswer(options, reply);
   if (reply.kind !== "answered") return reply;
   const body = client.parseBody(reply.text) as { version?: number } | undefined;
-  return createDone({ path, version: body?.version, changeId });
+  return createSuccess({ path, version: body?.version, changeId });
 }
 
-/** Applies one object; an invalid one is refused before any request. */
+/** Applies one object; an invalid object is rejected before any request. */
 export async function applyObject(
   options: ApplyOptions,
 ): Promise<outcome.CommandOutcome> {
@@ -116,21 +116,22 @@
   if (checked.kind === "invalid") {
     return outcome.createProblemOutcome(checked.problems);
   }
-  const present = await readPresent(options);
-  if (present.kind !== "present") return present;
-  const difference = diff.formatDiff(present.text, text);
+  const current = await readCurrentObject(options);
+  if (current.kind !== "present") return current;
+  const difference = diff.formatDiff(current.text, text);
   showDiff(difference === "" ? "No line differs" : difference);
-  // The entry's view may lag behind `ifVersion`, but never runs ahead.
-  if (ifVersion !== undefined && present.version > ifVersion) {
+  // The entry may not have received `ifVersion` yet, but never reports a version
+  // that does not exist: only a higher version is a conflict.
+  if (ifVersion !== undefined && current.version > ifVersion) {
     return {
       kind: "conflict",
-      message: `${path} has version ${present.version}, not ${ifVersion}`,
-      currentVersion: present.version,
+      message: `${path} has version ${current.version}, not ${ifVersion}`,
+      currentVersion: current.version,
     };
   }
   if (dryRun) {
-    const data = { path, version: present.version, diff: difference };
+    const data = { path, version: current.version, diff: difference };
     return { kind: "done", text: "Nothing was written", data };
   }
-  return writeObject(options, ifVersion ?? present.version);
+  return writeObject(options, ifVersion ?? current.version);
 }
--- a/packages/anvilhinge/src/cli/check.ts
+++ b/packages/anvilhinge/src/cli/check.ts
@@ -1,4 +1,4 @@
-/** The command `check`: checks files and folders without any connection. */
+/** The command `check`: validates files and folders offline. */
 import * as fs from "node:fs/promises";
 import * as document from "../settings/document.ts";
 import * as objectPath from "../settings/object_path.ts";
@@ -47,9 +47,9 @@
 }
 
 /**
- * Checks files and folders. A file below `<half>/<team>/<kind>/` is a settings
- * object, any other the settings of an entry or an agent; a folder holds the
- * objects of whole subtrees.
+ * Checks files and folders. A file below `<half>/<team>/<kind>/` is checked as a
+ * settings object and any other file as the settings of an entry or an agent. A
+ * folder must contain complete subtrees.
  */
 export async function checkPaths(
   paths: readonly string[],
--- a/packages/anvilhinge/src/cli/client.ts
+++ b/packages/anvilhinge/src/cli/client.ts
@@ -1,4 +1,4 @@
-/** Client of the operators' HTTP that each entry serves. */
+/** Client of the operators' HTTP interface of an entry. */
 import type * as outcome from "./outcome.ts";
 
 export interface HttpRequest {
@@ -14,7 +14,7 @@
   text(): Promise<string>;
 }
 
-/** The part of `fetch` that the commands use. */
+/** The subset of `fetch` that the commands use. */
 export type HttpFetch = (
   url: string,
   request: HttpRequest,
@@ -27,7 +27,7 @@
   readonly text: string;
 }
 
-/** Answer to a request, or the outcome that it leads to. */
+/** Response to a request, or the command's outcome if the request failed. */
 export type RequestOutcome =
   | EntryResponse
   | Exclude<outcome.CommandOutcome, { readonly kind: "done" | "usage" }>;
@@ -59,7 +59,7 @@
 
 const requestTimeoutMs = 15_000;
 
-/** Causes that show that no connection came about. */
+/** Error codes which prove that no connection was established. */
 const connectErrorCodes: ReadonlySet<unknown> = new Set([
   "ECONNREFUSED",
   "EHOSTUNREACH",
@@ -69,7 +69,7 @@
   "UND_ERR_CONNECT_TIMEOUT",
 ]);
 
-/** Parses an answer's body; undefined when it is no JSON. */
+/** Parses the body of a response; undefined when it is not JSON. */
 export function parseBody(text: string): unknown {
   try {
     return JSON.parse(text);
@@ -95,17 +95,17 @@
   };
 }
 
-function convertAnswer(
-  answer: EntryResponse,
+function convertResponse(
+  response: EntryResponse,
   isWrite: boolean,
 ): RequestOutcome {
-  const { status, text } = answer;
+  const { status, text } = response;
   const body = parseErrorBody(text);
   if (status === 202 && body.outcome === "unknown") {
-    const message = "The entry doesn't know whether the change was accepted";
+    const message = "The entry can't determine whether the change was accepted";
     return { kind: "unknown", message, changeId: body.changeId };
   }
-  if (status >= 200 && status < 300) return answer;
+  if (status >= 200 && status < 300) return response;
   const message = body.error?.message ?? `The entry answered status ${status}`;
   if (status === 409 || status === 412) {
     return {
@@ -119,7 +119,7 @@
   return { kind: isWrite ? "unknown" : "unreachable", message };
 }
 
-/** Creates a client of one entry. No method rejects. */
+/** Creates a client of one entry. Its promises never reject. */
 export function createClient(options: ClientOptions): Client {
   const { entry, token, fetch, signal } = options;
   const authorization: Record<string, string> = token === undefined
@@ -136,13 +136,13 @@
           body,
           signal: AbortSignal.any([signal, timeout]),
         });
-        const answer: EntryResponse = {
+        const converted: EntryResponse = {
           kind: "answered",
           status: response.status,
           etag: response.headers.get("etag"),
           text: await response.text(),
         };
-        return convertAnswer(answer, isWrite);
+        return convertResponse(converted, isWrite);
       } catch (error) {
         return convertFailure(error, isWrite);
       }
--- a/packages/anvilhinge/src/cli/command_context.ts
+++ b/packages/anvilhinge/src/cli/command_context.ts
@@ -1,4 +1,4 @@
-/** What the commands of the command line share. */
+/** Types and helpers that the commands of the command line share. */
 import * as fs from "node:fs/promises";
 import type * as commander from "commander";
 import type * as process from "../settings/process.ts";
@@ -8,17 +8,17 @@
 export type Output = outcome.Output;
 
 export interface RunOptions {
-  /** Asks the role for a graceful shutdown. */
+  /** Requests a graceful shutdown of the role. */
   readonly signal: AbortSignal;
 }
 
 export interface DevOptions extends RunOptions {
-  /** Playground to load; undefined for the default of the role. */
+  /** Playground to load; undefined for the role's default. */
   readonly playground: string | undefined;
   readonly output: Output;
 }
 
-/** What the daemon can run as; each resolves after its graceful shutdown. */
+/** Roles of the daemon; each function resolves after a graceful shutdown. */
 export interface Roles {
   runEntry(
     settings: process.EntrySettings,
@@ -37,36 +37,36 @@
   readonly fetch: client.HttpFetch;
   /** Creates the id of a change. */
   readonly createChangeId: () => string;
-  /** Asks for a graceful shutdown. */
+  /** Requests a graceful shutdown. */
   readonly signal: AbortSignal;
   /** Environment variables. */
   readonly environment: Readonly<Record<string, string | undefined>>;
 }
 
-/** Options that several commands have. */
+/** Options that several commands share. */
 export interface CommonOptions {
   readonly entry?: string;
   readonly tokenFile?: string;
   readonly json?: boolean;
 }
 
-/** Work of one command. */
+/** Action of one command. */
 export type CommandAction = () => Promise<outcome.CommandOutcome>;
 
-/** Settles one command: reports its outcome and keeps the exit code. */
+/** Runs the action of a command, reports its outcome and sets the exit code. */
 export type RunAction = (
-  work: CommandAction,
+  action: CommandAction,
   options?: CommonOptions,
 ) => Promise<void>;
 
-/** What a command is added to, and how its outcome is settled. */
+/** What is needed to add a command: the command line and how to run its action. */
 export interface CommandContext {
   readonly program: commander.Command;
   readonly options: ProgramOptions;
   readonly runAction: RunAction;
 }
 
-/** Text of a file, or why it can't be read. */
+/** Text of a file, or the reason why it can't be read. */
 export type FileOutcome =
   | { readonly kind: "read"; readonly text: string }
   | (outcome.CommandOutcome & { readonly kind: "refused" });
--- a/packages/anvilhinge/src/cli/diff.ts
+++ b/packages/anvilhinge/src/cli/diff.ts
@@ -1,11 +1,11 @@
 /** Line differences between two texts. */
 
-/** Cells of the table that two texts may need; a cell takes about 8 bytes. */
+/** Limit on the cells of the comparison table; a cell takes about 8 bytes. */
 const maxTableCells = 4_000_000;
 
 type Table = readonly (readonly number[])[];
 
-/** Computes the longest common subsequence of every pair of suffixes. */
+/** Computes the longest common subsequence's length for each pair of suffixes. */
 function computeCommonLengths(
   before: readonly string[],
   after: readonly string[],
--- a/packages/anvilhinge/src/cli/entry_commands.ts
+++ b/packages/anvilhinge/src/cli/entry_commands.ts
@@ -1,4 +1,4 @@
-/** Commands that speak to an entry. */
+/** Commands that send requests to an entry. */
 import * as commander from "commander";
 import * as names from "../settings/names.ts";
 import * as apply from "./apply.ts";
@@ -7,11 +7,11 @@
 import * as operatorCommands from "./operator_commands.ts";
 import type * as outcome from "./outcome.ts";
 
-type EntryWork = (entry: client.Client) => Promise<outcome.CommandOutcome>;
+type EntryAction = (entry: client.Client) => Promise<outcome.CommandOutcome>;
 
-interface EntryWorkOptions {
+interface EntryActionOptions {
   readonly common: commandContext.CommonOptions;
-  readonly work: EntryWork;
+  readonly action: EntryAction;
 }
 
 function parseIfVersion(text: string): number {
@@ -19,30 +19,30 @@
   throw new commander.InvalidArgumentError("Expected a version such as 12");
 }
 
-async function runWithEntry(
+async function executeWithEntry(
   { fetch, signal, environment }: commandContext.ProgramOptions,
-  { common, work }: EntryWorkOptions,
+  { common, action }: EntryActionOptions,
 ): Promise<outcome.CommandOutcome> {
   const entry = common.entry ?? environment["ANVILHINGE_ENTRY"];
   if (entry === undefined || !/^https?:\/\//.test(entry)) {
     const message =
-      "Name an entry with --entry or ANVILHINGE_ENTRY, such as http://127.0.0.1:8080";
+      "Specify an entry with --entry or ANVILHINGE_ENTRY, such as http://127.0.0.1:8080";
     return { kind: "usage", message };
   }
   if (common.tokenFile === undefined) {
-    return await work(client.createClient({ entry, fetch, signal }));
+    return await action(client.createClient({ entry, fetch, signal }));
   }
   const read = await commandContext.readText(common.tokenFile);
   if (read.kind !== "read") return read;
   const token = read.text.trim();
-  return await work(client.createClient({ entry, token, fetch, signal }));
+  return await action(client.createClient({ entry, token, fetch, signal }));
 }
 
-function settleWithEntry(
-  { options, runAction: settle }: commandContext.CommandContext,
-  { common, work }: EntryWorkOptions,
+function runActionWithEntry(
+  { options, runAction }: commandContext.CommandContext,
+  { common, action }: EntryActionOptions,
 ): Promise<void> {
-  return settle(() => runWithEntry(options, { common, work }), common);
+  return runAction(() => executeWithEntry(options, { common, action }), common);
 }
 
 function addCommonOptions(command: commander.Command): commander.Command {
@@ -53,31 +53,31 @@
 }
 
 /** Adds `get`, `history` and `status`. */
-export function addReadCommands(target: commandContext.CommandContext): void {
-  addCommonOptions(target.program.command("get"))
+export function addReadCommands(context: commandContext.CommandContext): void {
+  addCommonOptions(context.program.command("get"))
     .description("Print an object, or list a path that ends in a slash")
     .argument("<path>", "Path /<half>/<team>/<kind>/<name>")
     .action((path: string, common: commandContext.CommonOptions) => {
-      const work: EntryWork = (entry) =>
+      const action: EntryAction = (entry) =>
         operatorCommands.getSettings(entry, path);
-      return settleWithEntry(target, { common, work });
+      return runActionWithEntry(context, { common, action });
     });
-  addCommonOptions(target.program.command("history"))
+  addCommonOptions(context.program.command("history"))
     .description("List the changes of an object")
     .argument("<path>", "Path /<half>/<team>/<kind>/<name>")
     .action((path: string, common: commandContext.CommonOptions) => {
-      const work: EntryWork = (entry) =>
+      const action: EntryAction = (entry) =>
         operatorCommands.listHistory(entry, path);
-      return settleWithEntry(target, { common, work });
+      return runActionWithEntry(context, { common, action });
     });
-  addCommonOptions(target.program.command("status"))
-    .description("Show the status of the system as one entry sees it")
+  addCommonOptions(context.program.command("status"))
+    .description("Show the status of the system as seen by one entry")
     .option("--maps", "Show the expert maps")
     .action(
       (common: commandContext.CommonOptions & { readonly maps?: boolean }) => {
-        const work: EntryWork = (entry) =>
+        const action: EntryAction = (entry) =>
           operatorCommands.showStatus(entry, { maps: common.maps ?? false });
-        return settleWithEntry(target, { common, work });
+        return runActionWithEntry(context, { common, action });
       },
     );
 }
@@ -113,9 +113,11 @@
 }
 
 /** Adds `apply`, `move` and `drain`. */
-export function addWriteCommands(target: commandContext.CommandContext): void {
-  addCommonOptions(target.program.command("apply"))
-    .description("Show the difference, then write an object conditionally")
+export function addWriteCommands(context: commandContext.CommandContext): void {
+  addCommonOptions(context.program.command("apply"))
+    .description(
+      "Show the difference, then write an object under a version condition",
+    )
     .argument("<path>", "Path /<half>/<team>/<kind>/<name>")
     .argument("<file>", "Content in JSON with comments")
     .option(
@@ -125,15 +127,15 @@
     )
     .option("--dry-run", "Write nothing")
     .action((path: string, file: string, flags: ApplyFlags) => {
-      const work: EntryWork = (entry) =>
-        applyFile(target.options, { entry, path, file, flags });
-      return settleWithEntry(target, { common: flags, work });
+      const action: EntryAction = (entry) =>
+        applyFile(context.options, { entry, path, file, flags });
+      return runActionWithEntry(context, { common: flags, action });
     });
-  addCommonOptions(target.program.command("move"))
+  addCommonOptions(context.program.command("move"))
     .description("Hand a group over to the other half")
     .argument("<group>", "Name of the group")
     .addOption(
-      new commander.Option("--to <half>", "Half that takes the group")
+      new commander.Option("--to <half>", "Half that takes over the group")
         .choices(names.halves).makeOptionMandatory(),
     )
     .action(
@@ -141,17 +143,17 @@
         group: string,
         common: commandContext.CommonOptions & { readonly to: string },
       ) => {
-        const work: EntryWork = (entry) =>
+        const action: EntryAction = (entry) =>
           operatorCommands.moveGroup(entry, { group, to: common.to });
-        return settleWithEntry(target, { common, work });
+        return runActionWithEntry(context, { common, action });
       },
     );
-  addCommonOptions(target.program.command("drain"))
-    .description("Ask an instance for its graceful shutdown")
+  addCommonOptions(context.program.command("drain"))
+    .description("Request the graceful shutdown of an instance")
     .argument("<instance>", "Id of the instance")
     .action((instance: string, common: commandContext.CommonOptions) => {
-      const work: EntryWork = (entry) =>
+      const action: EntryAction = (entry) =>
         operatorCommands.drainInstance(entry, instance);
-      return settleWithEntry(target, { common, work });
+      return runActionWithEntry(context, { common, action });
     });
 }
--- a/packages/anvilhinge/src/cli/explain_command.ts
+++ b/packages/anvilhinge/src/cli/explain_command.ts
@@ -1,23 +1,25 @@
-/** The definition of `explain`; it loads the rest only when it runs. */
+/** Defines `explain`; its implementation is imported only when it runs. */
 import type * as commander from "commander";
 import type * as commandContext from "./command_context.ts";
 
 /** Adds `explain` to a command line. */
 export function addExplainCommand(
   program: commander.Command,
-  settle: commandContext.RunAction,
+  runAction: commandContext.RunAction,
 ): void {
   program.command("explain")
-    .description("Tell the story of a request from the logs of all entries")
+    .description(
+      "Report what happened to a request, from the logs of all entries",
+    )
     .argument("<id>", "Id of the request")
-    .argument("[file...]", "Files with log lines; none = standard input")
+    .argument("[file...]", "Files with log lines; default: standard input")
     .option("--json", "Print the outcome as one line of JSON")
     .action((
       id: string,
       files: readonly string[],
       common: commandContext.CommonOptions,
     ) =>
-      settle(async () => {
+      runAction(async () => {
         const explain = await import("./explain.ts");
         const { stdin: input } = process;
         return await explain.describeRequestFromLogs(id, { files, input });
--- a/packages/anvilhinge/src/cli/operator_commands.ts
+++ b/packages/anvilhinge/src/cli/operator_commands.ts
@@ -1,11 +1,13 @@
-/** Commands that read from an entry or ask it for an operation. */
+/** Commands that read from an entry or request an operation from it. */
 import * as names from "../settings/names.ts";
 import * as objectPath from "../settings/object_path.ts";
 import * as apply from "./apply.ts";
 import * as client from "./client.ts";
 import type * as outcome from "./outcome.ts";
 
-type Convert = (answer: client.EntryResponse) => outcome.CommandOutcome;
+type ConvertResponse = (
+  response: client.EntryResponse,
+) => outcome.CommandOutcome;
 
 function formatData(data: unknown): string {
   return JSON.stringify(data, null, 2);
@@ -16,21 +18,21 @@
   if (data !== undefined) {
     return { kind: "done", text: formatData(data), data };
   }
-  return { kind: "unreachable", message: "The entry's answer is not JSON" };
+  return { kind: "unreachable", message: "The entry's response is not JSON" };
 }
 
 async function requestOutcome(
   entry: client.Client,
   { path, convert = convertJson, ...options }: client.RequestOptions & {
     readonly path: string;
-    readonly convert?: Convert;
+    readonly convert?: ConvertResponse;
   },
 ): Promise<outcome.CommandOutcome> {
   const reply = await entry.request(path, options);
   return reply.kind === "answered" ? convert(reply) : reply;
 }
 
-/** Sends an order as JSON; its answer is shown as it is. */
+/** Sends an order as JSON; the response is shown unchanged. */
 function sendOrder(
   entry: client.Client,
   { path, order }: { readonly path: string; readonly order: object },
@@ -54,7 +56,7 @@
   return path.slice(1, -1).split("/").every(names.isName);
 }
 
-/** Gets one object, or the list of a prefix that ends in a slash. */
+/** Gets one object, or lists the objects of a prefix that ends in a slash. */
 export async function getSettings(
   entry: client.Client,
   path: string,
@@ -62,8 +64,8 @@
   if (isPrefix(path)) {
     return await requestOutcome(entry, { path: `/settings${path}` });
   }
-  const refused = checkPath(path);
-  if (refused !== undefined) return refused;
+  const usageError = checkPath(path);
+  if (usageError !== undefined) return usageError;
   return await requestOutcome(entry, {
     path: `/settings${path}`,
     convert({ etag, text }) {
@@ -78,12 +80,12 @@
   entry: client.Client,
   path: string,
 ): Promise<outcome.CommandOutcome> {
-  const refused = checkPath(path);
-  if (refused !== undefined) return refused;
+  const usageError = checkPath(path);
+  if (usageError !== undefined) return usageError;
   return await requestOutcome(entry, { path: `/settings${path}?history` });
 }
 
-/** Asks for a group to be handed to the other half. */
+/** Requests the handover of a group to the other half. */
 export function moveGroup(
   entry: client.Client,
   order: { readonly group: string; readonly to: string },
@@ -91,7 +93,7 @@
   return sendOrder(entry, { path: "/moves", order });
 }
 
-/** Asks for the graceful shutdown of an instance. */
+/** Requests the graceful shutdown of an instance. */
 export function drainInstance(
   entry: client.Client,
   instance: string,
@@ -99,7 +101,7 @@
   return sendOrder(entry, { path: "/drains", order: { instance } });
 }
 
-/** Shows the status of the system as the entry sees it. */
+/** Shows the status of the system as seen by the entry. */
 export function showStatus(
   entry: client.Client,
   { maps }: { readonly maps: boolean },
--- a/packages/anvilhinge/src/cli/outcome.ts
+++ b/packages/anvilhinge/src/cli/outcome.ts
@@ -1,7 +1,7 @@
-/** Outcomes of commands and the exit codes that stand for them. */
+/** Outcomes of commands and their exit codes. */
 import * as document from "../settings/document.ts";
 
-/** Takes text for the terminal; the text has its own line ends. */
+/** Writes text to the terminal; line breaks are part of the text. */
 export interface Output {
   write(text: string): void;
   writeError(text: string): void;
@@ -9,24 +9,24 @@
 
 export type CommandOutcome =
   | { readonly kind: "done"; readonly text: string; readonly data: unknown }
-  /** The settings were refused, by this command or by the entry. */
+  /** The settings were rejected, by this command or by the entry. */
   | {
     readonly kind: "refused";
     readonly message: string;
     readonly problems?: readonly document.Problem[];
-    /** HTTP status when the entry refused. */
+    /** HTTP status if the entry rejected them. */
     readonly status?: number;
   }
   | { readonly kind: "usage"; readonly message: string }
-  /** Another change came first; nothing took effect. */
+  /** Another change was accepted first; nothing took effect. */
   | {
     readonly kind: "conflict";
     readonly message: string;
     readonly currentVersion?: number;
   }
-  /** No effect: the entry, or the platform behind it, can't be reached. */
+  /** Nothing took effect: the entry or the platform can't be reached. */
   | { readonly kind: "unreachable"; readonly message: string }
-  /** The change may have taken effect or may yet do so. */
+  /** The change may have taken effect or may still do so. */
   | {
     readonly kind: "unknown";
     readonly message: string;
@@ -45,7 +45,7 @@
 
 export type ExitCode = typeof exitCodes[CommandOutcome["kind"]];
 
-/** Paragraph of the help page on exit codes. */
+/** Paragraph on exit codes in the help page. */
 export const exitCodeHelp = `
 Exit codes:
   0  done
@@ -55,7 +55,7 @@
   4  entry or platform unreachable, nothing took effect
   5  outcome unknown, the change may have taken effect`;
 
-/** Creates the outcome of settings that have problems. */
+/** Creates the outcome for invalid settings. */
 export function createProblemOutcome(
   problems: readonly document.Problem[],
 ): CommandOutcome {
@@ -69,7 +69,7 @@
   return JSON.stringify({ kind: "done", data: outcome.data });
 }
 
-/** Shows an outcome to the one who gave the command. */
+/** Prints an outcome, as text or as JSON. */
 export function reportOutcome(
   result: CommandOutcome,
   { output, json }: { readonly output: Output; readonly json: boolean },
--- a/packages/anvilhinge/src/cli/program.ts
+++ b/packages/anvilhinge/src/cli/program.ts
@@ -17,7 +17,7 @@
 
 export interface Program {
   readonly command: commander.Command;
-  /** Runs one command line, without the names of runtime and script. */
+  /** Runs a command line; `args` excludes the names of the runtime and script. */
   run(args: readonly string[]): Promise<outcome.ExitCode>;
 }
 
@@ -32,31 +32,31 @@
     });
 }
 
-/** Builds the command line of the daemon and its operators. */
+/** Builds the command line of the daemon and the operators' commands. */
 export function buildProgram(options: commandContext.ProgramOptions): Program {
   const { output } = options;
   const program = createProgram(output);
   let exitCode: outcome.ExitCode = outcome.exitCodes.done;
 
-  async function settle(
-    work: commandContext.CommandAction,
+  async function runAction(
+    action: commandContext.CommandAction,
     common: commandContext.CommonOptions = {},
   ): Promise<void> {
-    const result = await work();
+    const result = await action();
     outcome.reportOutcome(result, { output, json: common.json ?? false });
     exitCode = outcome.exitCodes[result.kind];
   }
 
-  const target: commandContext.CommandContext = {
+  const context: commandContext.CommandContext = {
     program,
     options,
-    runAction: settle,
+    runAction,
   };
-  roleCommands.addRoleCommands(target);
-  roleCommands.addCheckCommand(target);
-  entryCommands.addReadCommands(target);
-  entryCommands.addWriteCommands(target);
-  explainCommand.addExplainCommand(program, settle);
+  roleCommands.addRoleCommands(context);
+  roleCommands.addCheckCommand(context);
+  entryCommands.addReadCommands(context);
+  entryCommands.addWriteCommands(context);
+  explainCommand.addExplainCommand(program, runAction);
 
   return {
     command: program,
--- a/packages/anvilhinge/src/cli/role_commands.ts
+++ b/packages/anvilhinge/src/cli/role_commands.ts
@@ -5,7 +5,7 @@
 import * as check from "./check.ts";
 import * as outcome from "./outcome.ts";
 
-interface CheckedFile<Settings> {
+interface RoleRun<Settings> {
   readonly file: string;
   readonly resolve: (
     text: string,
@@ -14,10 +14,14 @@
   readonly run: (settings: Settings) => Promise<void>;
 }
 
-const finished: outcome.CommandOutcome = { kind: "done", text: "", data: null };
+const doneOutcome: outcome.CommandOutcome = {
+  kind: "done",
+  text: "",
+  data: null,
+};
 
 async function runRole<Settings>(
-  { file, resolve, run }: CheckedFile<Settings>,
+  { file, resolve, run }: RoleRun<Settings>,
 ): Promise<outcome.CommandOutcome> {
   const read = await commandContext.readText(file);
   if (read.kind !== "read") return read;
@@ -28,13 +32,13 @@
   return tryRun(() => run(checked.settings));
 }
 
-/** Turns errors of the operating system, such as a port in use, into outcomes. */
+/** Runs a role; converts system errors, such as a port in use, to outcomes. */
 async function tryRun(
   run: () => Promise<void>,
 ): Promise<outcome.CommandOutcome> {
   try {
     await run();
-    return finished;
+    return doneOutcome;
   } catch (error) {
     const { syscall, message } = error as NodeJS.ErrnoException;
     if (syscall === undefined) throw error;
@@ -47,14 +51,14 @@
 
 /** Adds `entry`, `agent` and `dev`. */
 export function addRoleCommands(
-  { program, options, runAction: settle }: commandContext.CommandContext,
+  { program, options, runAction }: commandContext.CommandContext,
 ): void {
   const { roles, signal, output } = options;
   program.command("entry")
     .description("Run an entry until it is asked to stop")
     .requiredOption("--settings <file>", "Settings of the entry")
     .action(({ settings: file }: { settings: string }) =>
-      settle(() =>
+      runAction(() =>
         runRole({
           file,
           resolve: process.resolveEntrySettings,
@@ -66,7 +70,7 @@
     .description("Run the agent of one upstream until it is asked to stop")
     .requiredOption("--settings <file>", "Settings of the agent")
     .action(({ settings: file }: { settings: string }) =>
-      settle(() =>
+      runAction(() =>
         runRole({
           file,
           resolve: process.resolveAgentSettings,
@@ -78,19 +82,24 @@
     .description("Run the whole system on loopback in one process")
     .option("--playground <name>", "Playground to load")
     .action(({ playground }: { playground?: string }) =>
-      settle(() => roles.runDev({ playground, signal, output }))
+      runAction(() => roles.runDev({ playground, signal, output }))
     );
 }
 
 /** Adds `check`. */
 export function addCheckCommand(
-  { program, runAction: settle }: commandContext.CommandContext,
+  { program, runAction }: commandContext.CommandContext,
 ): void {
   program.command("check")
-    .description("Check settings offline; a folder holds whole subtrees")
-    .argument("<file...>", "Settings of entries, agents, objects or folders")
+    .description(
+      "Check settings offline; a folder must contain complete subtrees",
+    )
+    .argument(
+      "<file...>",
+      "Settings files of entries or agents, settings objects, or folders",
+    )
     .option("--json", "Print the outcome as one line of JSON")
     .action((files: readonly string[], common: commandContext.CommonOptions) =>
-      settle(() => check.checkPaths(files), common)
+      runAction(() => check.checkPaths(files), common)
     );
 }
--- a/packages/anvilhinge/src/cli/version.ts
+++ b/packages/anvilhinge/src/cli/version.ts
@@ -1,4 +1,4 @@
-/** The version of the program, as its package says. */
+/** The version of the program, from its package file. */
 import packageData from "../../package.json" with { type: "json" };
 
 export const { version } = packageData;
