--- a/packages/anvilhinge/src/cli/apply.ts
+++ b/packages/anvilhinge/src/cli/apply.ts
@@ -13,7 +13,7 @@
   /** Version that the object must have; 0 = it must not exist. */
   readonly ifVersion?: number;
   readonly dryRun: boolean;
-  /** Id of the change, by which its outcome is looked up if the answer is lost. */
+  /** Id by which the outcome of the change is looked up after a lost answer. */
   readonly changeId: string;
   readonly showDiff: (text: string) => void;
 }
--- a/packages/anvilhinge/src/cli/client.ts
+++ b/packages/anvilhinge/src/cli/client.ts
@@ -136,13 +136,13 @@
           body,
           signal: AbortSignal.any([signal, timeout]),
         });
-        const converted: EntryResponse = {
+        const entryResponse: EntryResponse = {
           kind: "answered",
           status: response.status,
           etag: response.headers.get("etag"),
           text: await response.text(),
         };
-        return convertResponse(converted, isWrite);
+        return convertResponse(entryResponse, isWrite);
       } catch (error) {
         return convertFailure(error, isWrite);
       }
--- a/packages/anvilhinge/src/cli/command_context.ts
+++ b/packages/anvilhinge/src/cli/command_context.ts
@@ -59,7 +59,7 @@
   options?: CommonOptions,
 ) => Promise<void>;
 
-/** What is needed to add a command: the command line and how to run its action. */
+/** Command line to which a command is added, and how its action is run. */
 export interface CommandContext {
   readonly program: commander.Command;
   readonly options: ProgramOptions;
--- a/packages/anvilhinge/src/cli/diff.ts
+++ b/packages/anvilhinge/src/cli/diff.ts
@@ -5,7 +5,7 @@
 
 type Table = readonly (readonly number[])[];
 
-/** Computes the longest common subsequence's length for each pair of suffixes. */
+/** Computes the length of the longest common subsequence of all suffix pairs. */
 function computeCommonLengths(
   before: readonly string[],
   after: readonly string[],
--- a/packages/anvilhinge/src/cli/program.ts
+++ b/packages/anvilhinge/src/cli/program.ts
@@ -17,7 +17,7 @@
 
 export interface Program {
   readonly command: commander.Command;
-  /** Runs a command line; `args` excludes the names of the runtime and script. */
+  /** Runs a command line; `args` excludes the runtime and the script. */
   run(args: readonly string[]): Promise<outcome.ExitCode>;
 }
 
--- a/packages/anvilhinge/src/main.ts
+++ b/packages/anvilhinge/src/main.ts
@@ -1,4 +1,4 @@
-/** Entry point of the binary: the daemon and the operators' command line. */
+/** Main module of the binary: the daemon and the operators' command line. */
 import * as crypto from "node:crypto";
 import * as undici from "undici";
 import * as agent from "./agent/mod.ts";
--- a/packages/anvilhinge/src/settings/known_keys.ts
+++ b/packages/anvilhinge/src/settings/known_keys.ts
@@ -31,7 +31,7 @@
   return schema;
 }
 
-/** Returns the keys of the object schema at `path`; empty if there is no object. */
+/** Returns the keys of the object schema at `path`; empty if there is none. */
 export function listKnownKeys(
   schema: zod.core.$ZodType | undefined,
   { path, value }: { readonly path: readonly Key[]; readonly value: unknown },
--- a/packages/anvilhinge/src/settings/names.ts
+++ b/packages/anvilhinge/src/settings/names.ts
@@ -9,7 +9,7 @@
 const namePattern = /^[a-z0-9_.-]+$/;
 const maxPort = 65535;
 
-/** Returns whether `text` is a valid name of a team, an object or an instance. */
+/** Returns whether `text` is a valid name of a team, object or instance. */
 export function isName(text: string): boolean {
   return namePattern.test(text) && text !== "." && text !== "..";
 }
--- a/packages/anvilhinge/src/settings/nearest_name.ts
+++ b/packages/anvilhinge/src/settings/nearest_name.ts
@@ -17,7 +17,7 @@
   return previous[right.length]!;
 }
 
-/** Returns the known name with the smallest edit distance, unless all are far. */
+/** Returns the known name with the least edit distance, unless all are far. */
 export function findNearestName(
   name: string,
   knownNames: readonly string[],
--- a/packages/anvilhinge/src/settings/object_path.ts
+++ b/packages/anvilhinge/src/settings/object_path.ts
@@ -48,7 +48,7 @@
   return `${formatSubtree(path)}/${path.kind}/${path.name}`;
 }
 
-/** Parses `/<half>/<team>/<kind>/<name>`; on failure the message is the reason. */
+/** Parses `/<half>/<team>/<kind>/<name>`; the message names the error. */
 export function parseSettingsPath(text: string): PathOutcome {
   function reject(reason: string): PathOutcome {
     return {
--- a/packages/anvilhinge/src/settings/objects.ts
+++ b/packages/anvilhinge/src/settings/objects.ts
@@ -141,7 +141,7 @@
   water_board: createWeightsSchema("water_board"),
 } as const;
 
-/** Schemas of settings objects by kind; for weights, the association's schema. */
+/** Schemas of settings objects by kind; for weights, that of the association. */
 export const objectSchemas: Readonly<
   Record<objectPath.ObjectKind, zod.ZodType>
 > = {
--- a/packages/anvilhinge/src/settings/process.ts
+++ b/packages/anvilhinge/src/settings/process.ts
@@ -78,7 +78,7 @@
       "Maximum size of a request body in bytes. Default: 4194304",
     ),
   tracing: tracing.prefault({}).describe("Export of traces. Default: none"),
-  log: log.prefault({}).describe("Logging"),
+  log: log.prefault({}).describe("Logs"),
   operators: zod.array(operator).readonly().default([]).describe(
     "Operators who may change settings. Default: none",
   ),
@@ -106,7 +106,7 @@
     ),
   }).readonly().describe("Process that the agent runs next to"),
   tracing: tracing.prefault({}).describe("Export of traces. Default: none"),
-  log: log.prefault({}).describe("Logging"),
+  log: log.prefault({}).describe("Logs"),
 }).readonly();
 
 export type EntrySettings = zod.output<typeof entrySchema>;
--- a/packages/anvilhinge/src/settings/record.ts
+++ b/packages/anvilhinge/src/settings/record.ts
@@ -1,4 +1,4 @@
-/** Stored form of a settings object in the object API, with its recent history. */
+/** Record of a settings object in the object API, with its recent history. */
 import * as zod from "zod";
 import * as objectPath from "./object_path.ts";
 
@@ -15,7 +15,7 @@
   at: zod.string(),
   /** Version of the object before this change; 0 = the object did not exist. */
   previousVersion: zod.int().min(0),
-  /** Digest of the text; distinguishes a repeated change from a different one. */
+  /** Digest of the text; tells a repeated change from a different change. */
   textDigest: zod.string().optional(),
   /**
    * Id of a change whose outcome is unknown and which this change prevents from
@@ -55,7 +55,7 @@
   return { text: next.text, changes: changes.slice(0, maxHistoryChanges) };
 }
 
-/** Builds the record that prevents the change `next.fences` from taking effect. */
+/** Builds the record that keeps the change `next.fences` from taking effect. */
 export function buildFenceRecord(
   previous: SettingsRecord | undefined,
   next: Change,
@@ -66,7 +66,7 @@
   return isAbsent ? { ...fenced, isAbsent } : fenced;
 }
 
-/** Parses a stored value; undefined when its settings object does not exist. */
+/** Parses a stored value; undefined if not a record or its object is absent. */
 export function parsePresentRecord(value: unknown): SettingsRecord | undefined {
   const parsed = parseRecord(value);
   return parsed?.isAbsent ? undefined : parsed;
--- a/packages/anvilhinge/src/settings/reload.ts
+++ b/packages/anvilhinge/src/settings/reload.ts
@@ -1,4 +1,4 @@
-/** Applies changed settings to a running process, except keys that need a restart. */
+/** Applies changed settings to a running process, where no restart is needed. */
 import type * as logger from "../telemetry/logger.ts";
 import * as documentText from "./document_text.ts";
 import type * as process from "./process.ts";
--- a/packages/anvilhinge/src/settings/routing.ts
+++ b/packages/anvilhinge/src/settings/routing.ts
@@ -125,6 +125,6 @@
   /** Requests that the upstream processes concurrently. */
   readonly slots: number;
   readonly state: "serving" | "leaving";
-  /** Wall-clock time of the start; a different time is a different incarnation. */
+  /** Wall-clock time of the start; another time means another incarnation. */
   readonly startedAtMs: number | undefined;
 }
