--- a/packages/anvilhinge/src/settings/known_keys.ts
+++ b/packages/anvilhinge/src/settings/known_keys.ts
@@ -1,4 +1,4 @@
-/** Lists the keys that a schema knows at a path, for hints on unknown keys. */
+/** Lists the keys that a schema defines at a path, for hints on unknown keys. */
 import * as zod from "zod";
 
 type Key = string | number;
@@ -37,16 +37,22 @@
   { path, value }: { readonly path: readonly Key[]; readonly value: unknown },
 ): readonly string[] {
   const resolved = resolveSchema(schema, value);
-  const [key, ...rest] = path;
+  const [key, ...remainingPath] = path;
   if (key === undefined) {
     return resolved instanceof zod.ZodObject ? Object.keys(resolved.shape) : [];
   }
   const child = (value as Record<Key, unknown> | undefined)?.[key];
   if (resolved instanceof zod.ZodArray) {
-    return listKnownKeys(resolved.element, { path: rest, value: child });
+    return listKnownKeys(resolved.element, {
+      path: remainingPath,
+      value: child,
+    });
   }
   if (resolved instanceof zod.ZodObject) {
-    return listKnownKeys(resolved.shape[key], { path: rest, value: child });
+    return listKnownKeys(resolved.shape[key], {
+      path: remainingPath,
+      value: child,
+    });
   }
   return [];
 }
