--- a/packages/anvilhinge/src/dev/control_test.ts
+++ b/packages/anvilhinge/src/dev/control_test.ts
@@ -18,9 +18,9 @@
   subtrees: ["/association/drafting"],
 }];
 const entriesPerHalf = 7;
-/** Two entries of each of the three failure domains. */
+/** Entries that watch the object API: two in each of three failure domains. */
 const watchersPerHalf = 6;
-/** Key prefixes of the object store that each of them watches. */
+/** Number of key prefixes that each of these entries watches. */
 const prefixCount = 2;
 const chat = {
   workspace: "drafting/milan",
@@ -136,7 +136,7 @@
     expect(rejected.status).toBe(403);
   });
 
-  test("a reference to a missing object is refused with its line", async () => {
+  test("a reference to a missing object is refused with the line of the reference", async () => {
     const text = workspace.replace('["drafting"]', '["none"]');
     const path = "/association/drafting/workspaces/varese";
     const answer = await put(halfEntries[0]!.address, path, { text });
@@ -161,7 +161,7 @@
 
   test("a change that failed before its write can be repeated", async () => {
     const path = "/association/drafting/workspaces/lodi";
-    // No call count: calls that renew leases would sometimes use it up.
+    // Sets no call count, because lease renewals would sometimes use it up.
     running.storeFaults.set({ kind: "late", delayMs: 200 });
     // The first call of the change is a list; it fails before the write.
     const failedPut = await put(halfEntries[0]!.address, path, {
@@ -213,15 +213,15 @@
           }),
       },
     });
-    const lateEntry = await starting;
-    abort.signal.addEventListener("abort", lateEntry.kill);
-    expect(await hasTestWorkspace(lateEntry)).toBe(true);
+    const addedEntry = await starting;
+    abort.signal.addEventListener("abort", addedEntry.kill);
+    expect(await hasTestWorkspace(addedEntry)).toBe(true);
     expect(
-      (await caller.sendChat({ address: lateEntry.address, ...chat })).kind,
+      (await caller.sendChat({ address: addedEntry.address, ...chat })).kind,
     ).toBe("complete");
     running.storeFaults.set({ kind: "none" });
 
-    await lateEntry.stop();
+    await addedEntry.stop();
     for (const member of halfEntries) {
       const hasLeft = async () =>
         (await listMembers(member.address)).every(({ id, state }) =>
--- a/packages/anvilhinge/src/dev/faults_test.ts
+++ b/packages/anvilhinge/src/dev/faults_test.ts
@@ -54,10 +54,11 @@
   test("no answer is truncated while a third of the ranks crash", async () => {
     const crashed = listSwitches().filter((_, index) => index % 3 === 0);
     for (const faultSwitch of crashed) faultSwitch.set({ kind: "crash" });
-    // Until the crashed ranks are ejected, a request may be dispatched to four
-    // of them in a row. It is then refused, and never truncated. A rank that
-    // broke the connection after the request was sent may have started it, so
-    // an attempt counts as not run only if it reached no engine.
+    // Until the crashed ranks are ejected, all four attempts of a request may
+    // reach crashed ranks. The request is then refused, and its answer is never
+    // truncated. A rank that broke the connection after the request was sent may
+    // have started it, so an attempt counts as not run only if it reached no
+    // engine.
     for (let request = 0; request < 40; request += 1) {
       const outcome = await sendChat(`first ${request}`);
       if (outcome.kind === "complete") continue;
@@ -129,14 +130,14 @@
     // The load determines how soon a request reaches the stalled rank; all
     // requests must be answered completely nevertheless.
     for (
-      let round = 0;
-      round < 20 && await readMetric(stalls) === 0;
-      round += 1
+      let batch = 0;
+      batch < 20 && await readMetric(stalls) === 0;
+      batch += 1
     ) {
       const outcomes = await Promise.all(
         Array.from(
           { length: 60 },
-          (_, index) => sendChat(`stall ${round} ${index}`),
+          (_, index) => sendChat(`stall ${batch} ${index}`),
         ),
       );
       expect(outcomes.every(({ kind }) => kind === "complete")).toBe(true);
--- a/packages/anvilhinge/src/dev/filing_test.ts
+++ b/packages/anvilhinge/src/dev/filing_test.ts
@@ -102,7 +102,7 @@
   expect(countExecutions("filing-3")).toBe(0);
 });
 
-test("an object store outage refuses filings as not run and serves reads", async () => {
+test("filings are refused and reads are served during an object store outage", async () => {
   running.storeFaults.set({ kind: "down" });
   const filing = await send(0, filingsPath, { businessId: "filing-4" });
   expect(filing.status).toBe(503);
@@ -121,7 +121,7 @@
   expect(countExecutions("filing-4")).toBe(0);
 });
 
-test("an unrecorded request id is reported as unknown", async () => {
+test("a lookup of an unrecorded request id reports that the outcome is unknown", async () => {
   const outcome = await send(0, "/v1/requests/never-sent");
   expect(outcome.status).toBe(404);
   expect(outcome.body.error).toMatchObject({ ran: "unknown" });
--- a/packages/anvilhinge/src/dev/load.ts
+++ b/packages/anvilhinge/src/dev/load.ts
@@ -40,13 +40,13 @@
   readonly whole: number;
   /** Chats refused as not run, and service calls answered with 503. */
   readonly notRun: number;
-  /** Requests that failed with an error or an interrupted stream. */
+  /** Requests that ended with another error or an interrupted stream. */
   readonly failed: number;
   /** Chats that ended as complete with wrong or missing tokens. */
   readonly wrong: number;
   /** Accepted filings. */
   readonly filings: number;
-  /** Filings executed more than once, and accepted but not executed. */
+  /** Filings executed more than once, and accepted filings not executed. */
   readonly filingErrors: number;
   /** Time to the first token in milliseconds. */
   readonly firstToken: histogram.Histogram;
--- a/packages/anvilhinge/src/dev/moves_test.ts
+++ b/packages/anvilhinge/src/dev/moves_test.ts
@@ -45,6 +45,7 @@
 
 beforeAll(async () => {
   running = await playgroundSystem.startPlaygroundSystem({
+    // Starts only the groups of the two models that the test sends load to.
     isWanted: (object) =>
       object.path.kind !== "groups" || object.path.name.startsWith("dra"),
     signal: abort.signal,
--- a/packages/anvilhinge/src/dev/resume_test.ts
+++ b/packages/anvilhinge/src/dev/resume_test.ts
@@ -80,7 +80,7 @@
   }
 }
 
-test("a stream resumes at another entry after the first entry is killed", async () => {
+test("a stream resumes at another entry after the first entry is killed, but not for another workspace", async () => {
   await waitForAnswer();
   const first = await readChat(0, {
     onText(text) {
@@ -98,8 +98,8 @@
   const joined = first.text + second.text;
   expect(readTokens(joined)).toEqual(answer.generateTokens(body));
 
-  // The agent still keeps the generation: resumed after the first event at a
-  // single entry, the remaining stream is identical byte for byte.
+  // The agent still keeps the generated answer: a resume after the first event
+  // delivers the same remaining stream, byte for byte.
   const again = await readChat(2, { headers: { "last-event-id": ids[0]! } });
   const firstEvent = first.text.slice(0, first.text.indexOf("\n\n") + 2);
   expect(firstEvent + again.text).toBe(joined);
--- a/packages/anvilhinge/src/dev/shutdown_process_test.ts
+++ b/packages/anvilhinge/src/dev/shutdown_process_test.ts
@@ -36,7 +36,7 @@
   /** Capture groups of the log line that shows that the process is ready. */
   readonly captures: readonly string[];
   readonly exited: Promise<number | null>;
-  readError(): string;
+  readStderr(): string;
 }
 
 /** Starts a role and waits for a log line that matches `pattern`. */
@@ -68,7 +68,7 @@
       if (match !== null) resolve(match.slice(1));
     });
   });
-  return { process: child, captures, exited, readError: () => errors };
+  return { process: child, captures, exited, readStderr: () => errors };
 }
 
 async function startPlatform() {
@@ -135,7 +135,7 @@
   }
 }
 
-test("a planned stop of entry and agent interrupts no request", async () => {
+test("a SIGTERM to the entry and the agent interrupts no request", async () => {
   const { api, registry, platform, engineUrl } = await startPlatform();
   const entry = await startEntryProcess(platform);
   const [address = "", control = ""] = entry.captures;
@@ -233,7 +233,7 @@
 }
 
 test(
-  "a second signal ends an entry at once and reports the requests it cuts",
+  "a second SIGTERM ends an entry at once and reports the interrupted requests",
   async () => {
     const { platform } = await startPlatform();
     const entry = await startEntryProcess(platform);
@@ -241,7 +241,7 @@
     await new Promise((resolve) => setTimeout(resolve, 100));
     entry.process.kill("SIGTERM");
     expect(await entry.exited).toBe(1);
-    expect(entry.readError()).toContain("Ends at once and cuts 0 requests");
+    expect(entry.readStderr()).toContain("Ends at once and cuts 0 requests");
   },
   60_000,
 );
--- a/packages/anvilhinge/src/dev/system.ts
+++ b/packages/anvilhinge/src/dev/system.ts
@@ -41,7 +41,7 @@
   readonly operators?: process.EntrySettings["operators"];
   /** @default 1000 */
   readonly addressAnswerTtlMs?: number;
-  /** Receive the spans of all entries and agents. */
+  /** Processors that receive the spans of all entries and agents. */
   readonly spanProcessors?: entry.EntryAdapters["spanProcessors"];
 }
 
@@ -66,8 +66,8 @@
 const defaultStepMs = 20;
 const defaultTtlMs = 1_000;
 const maxFailureDomains = 3;
-/** Unused: the store and the instance list are in-process adapters. */
-const localPlatform: upstreams.PlatformAddresses = {
+/** Never contacted: the object store and instance list run in this process. */
+const unusedPlatform: upstreams.PlatformAddresses = {
   objectStore: "http://127.0.0.1:1",
   instanceList: "http://127.0.0.1:1",
 };
@@ -78,6 +78,7 @@
   return [...new Set(settingsObjects.map((object) => object.path.half))].sort();
 }
 
+/** Lists failure domains of the ranks of a half, for its entries. */
 function listFailureDomains(
   settingsObjects: readonly objects.SettingsObject[],
   half: names.Half,
@@ -110,7 +111,7 @@
       controlAddress: { host: "127.0.0.1", port: 0 },
       failureDomain,
       region: domain?.region ?? "local",
-      platform: localPlatform,
+      platform: unusedPlatform,
       addressAnswerTtlMs: options.addressAnswerTtlMs ?? defaultTtlMs,
       requestBodyLimitBytes: 4 * 1024 * 1024,
       tracing: { exporter: "none" },
@@ -185,7 +186,7 @@
   };
 }
 
-/** Starts the system; resolves when the settings are in the object store. */
+/** Starts the system; resolves when the object store holds the settings. */
 export async function startSystem(
   options: SystemOptions,
 ): Promise<RunningSystem> {
@@ -217,7 +218,7 @@
         logLevel: options.logLevel ?? "warn",
         logStream: options.logStream,
         spanProcessors: options.spanProcessors,
-        platform: localPlatform,
+        platform: unusedPlatform,
         store,
       }),
     );
--- a/packages/anvilhinge/src/dev/upstreams.ts
+++ b/packages/anvilhinge/src/dev/upstreams.ts
@@ -11,7 +11,7 @@
 import * as plainService from "../stand_ins/plain_service.ts";
 import * as plainServiceHttp from "../stand_ins/plain_service_http.ts";
 
-/** Platform addresses for the settings; not contacted within one process. */
+/** Platform addresses that the settings require; a local system ignores them. */
 export interface PlatformAddresses {
   readonly objectStore: string;
   readonly instanceList: string;
@@ -25,7 +25,7 @@
   readonly engine?: modelEngine.ModelEngine;
   /** Set when the group serves a plain service. */
   readonly service?: plainService.PlainService;
-  /** Fault switch of the stand-in of each rank; one for a plain service. */
+  /** Fault switch of each rank; a plain service has only one for all ranks. */
   readonly faults: readonly faults.FaultSwitch[];
 }
 
@@ -48,7 +48,7 @@
 interface StandIn {
   readonly engine?: modelEngine.ModelEngine;
   readonly service?: plainService.PlainService;
-  /** Base URL of the stand-in that the agent of each rank fronts. */
+  /** Base URLs of the stand-ins behind the agents, by rank. */
   readonly urls: readonly string[];
   readonly faults: readonly faults.FaultSwitch[];
 }
--- a/packages/anvilhinge/src/matrix/agent_node.ts
+++ b/packages/anvilhinge/src/matrix/agent_node.ts
@@ -8,9 +8,10 @@
 import * as network from "./network.ts";
 
 /**
- * Start of an attempt at an engine. The golden files contain the property names.
+ * Record of an attempt that started at an engine. The golden files contain the
+ * property names.
  */
-export interface WorkStart {
+export interface AttemptStart {
   readonly upstreamId: string;
   readonly requestId: string;
   readonly attemptId: string;
@@ -22,9 +23,9 @@
   readonly scheduler: scheduler.Scheduler;
   readonly upstream: session.Upstream;
   readonly send: network.SendMessage;
-  readonly onStart: (start: WorkStart) => void;
+  readonly onStart: (start: AttemptStart) => void;
   /** Called when a service call takes effect. */
-  readonly onEffect: (start: WorkStart) => void;
+  readonly onEffect: (start: AttemptStart) => void;
 }
 
 /** Receiver of a stream of frames at an entry. */
@@ -55,10 +56,12 @@
 export const chunkCount = 5;
 const firstChunkDelayMs = 30;
 const chunkIntervalMs = 20;
+/** Time from the start of a service call to its effect. */
 const effectDelayMs = 20;
+/** Time from the effect of a service call to its answer. */
 const answerDelayMs = 10;
 const restartDelayMs = 500;
-const expireIntervalMs = 1_000;
+const expiryIntervalMs = 1_000;
 
 /**
  * Returns the text of a chunk. It differs between attempts, as the output of a
@@ -108,7 +111,7 @@
       if (process !== active) return;
       for (const id of process.table.expire()) process.table.cancel(id);
       scheduleExpiry(process);
-    }, { delayMs: expireIntervalMs });
+    }, { delayMs: expiryIntervalMs });
   }
 
   /** Schedules an engine callback; a stall delays it. */
--- a/packages/anvilhinge/src/matrix/at_most_once_test.ts
+++ b/packages/anvilhinge/src/matrix/at_most_once_test.ts
@@ -26,7 +26,7 @@
   expect(record.starts[0]?.upstreamId).toBe("g1/0");
 });
 
-test("an agent that restarts during the call leaves the outcome unknown", async () => {
+test("an agent that restarts during the call does not lead to a not_run answer", async () => {
   const record = await runFiling({
     fault: "agent_dies",
     step: "frame_accepted#1",
@@ -58,11 +58,12 @@
   expect(record.starts.map((start) => start.upstreamId)).toEqual(["g1/0"]);
 });
 
-test("a call during a store outage is answered at once and does not start", async () => {
+test("a call during an object store outage is answered at once and does not start", async () => {
   const record = await runFiling({ fault: "store_down", step: "store_read#1" });
   const [first] = record.submissions;
   expect(first?.final).toMatchObject({ kind: "unknown", retryAfterMs: 1_000 });
   expect(first?.finalAtMs).toBeLessThan(100);
+  // The outage lasts 5 s.
   expect(record.starts.filter(({ atMs }) => atMs < 5_000)).toEqual([]);
   expect(record.effects.length).toBeLessThanOrEqual(1);
 });
--- a/packages/anvilhinge/src/matrix/caller.ts
+++ b/packages/anvilhinge/src/matrix/caller.ts
@@ -30,7 +30,7 @@
   lastWords: number;
   /** Whether the caller timed out and closed the connection. */
   isAbandoned: boolean;
-  /** Text received before, if this submission resumes a stream. */
+  /** Text from earlier submissions, if this submission resumes a stream. */
   readonly before: string;
 }
 
@@ -50,7 +50,7 @@
 export const workspace = "drafting/milan";
 /** Deadline of a submission, relative to its start. */
 export const deadlineMs = 30_000;
-/** Time without any data after which the caller goes to the next entry. */
+/** Time without any data after which the caller submits to the next entry. */
 const answerTimeoutMs = 4_000;
 const maxSubmissions = 8;
 
--- a/packages/anvilhinge/src/matrix/cells.ts
+++ b/packages/anvilhinge/src/matrix/cells.ts
@@ -29,8 +29,8 @@
 export async function listSingleFaults(
   session: simulation.SessionName,
 ): Promise<readonly faultPlan.PlannedFault[]> {
-  const faultless = await simulation.runSimulation({ session, planned: [] });
-  return faultless.steps.flatMap((step) =>
+  const faultlessRun = await simulation.runSimulation({ session, planned: [] });
+  return faultlessRun.steps.flatMap((step) =>
     faultPlan.allFaults
       .filter((fault) => isPossible(fault, step))
       .map((fault) => ({ fault, step }))
--- a/packages/anvilhinge/src/matrix/checks.ts
+++ b/packages/anvilhinge/src/matrix/checks.ts
@@ -112,16 +112,16 @@
     case "deadline_exceeded":
       if (!record.isRepeatable && final.kind === "failed") {
         return [
-          "A call that must not run twice got the retryable answer failed",
+          "A call that must not run twice got a failed answer",
         ];
       }
-      if (final.ran === "no" && hasRun) return ["Wrong value of ran: no"];
+      if (final.ran === "no" && hasRun) return ["Call ran, but ran is no"];
       if (final.ran === "yes" && !hasRun) {
-        return ["Wrong value of ran: yes"];
+        return ["Call did not run, but ran is yes"];
       }
       return [];
     case "other_body":
-      return ["A retry with the same body was rejected as another body"];
+      return ["A retry with an identical body was rejected as other_body"];
     default:
       return [];
   }
--- a/packages/anvilhinge/src/matrix/entry_node.ts
+++ b/packages/anvilhinge/src/matrix/entry_node.ts
@@ -60,8 +60,11 @@
   onExit(listener: () => void): void;
 }
 
+/** Seed of the claim store. */
 const seed = 7;
+/** Timeout of calls to agents. */
 const callTimeoutMs = 1_000;
+/** One-way latency of calls to the object store. */
 const storeLatencyMs = 3;
 
 /** Creates an entry that is up. */
--- a/packages/anvilhinge/src/matrix/fault_plan.ts
+++ b/packages/anvilhinge/src/matrix/fault_plan.ts
@@ -3,19 +3,26 @@
 /** Kind of a fault that occurs at a step. */
 export type Fault =
   | "message_lost"
+  /** The message arrives late, but in time for its attempt to start. */
   | "message_late"
+  /** The message arrives too late for its attempt to start. */
   | "message_very_late"
   | "message_doubled"
   | "message_reordered"
+  /** The first agent dies and restarts. */
   | "agent_dies"
+  /** The first agent dies and does not restart. */
   | "agent_gone"
   | "entry_dies"
   | "entry_pauses"
   | "store_down"
   | "store_slow"
+  /** The object store executes one call, but its answer is lost. */
   | "store_answer_lost"
+  /** One call to the object store gets no answer and is executed late. */
   | "store_write_late"
   | "rank_stalls"
+  /** The first upstream changes its half, but the entries do not notice. */
   | "list_stale";
 
 /** All faults in the order in which the matrix is printed. */
@@ -52,7 +59,7 @@
   listSteps(): readonly string[];
 }
 
-/** Creates a plan; each fault occurs once. */
+/** Creates a plan; each planned fault occurs once, at its step. */
 export function createFaultPlan(planned: readonly PlannedFault[]): FaultPlan {
   const counts = new Map<string, number>();
   const steps: string[] = [];
--- a/packages/anvilhinge/src/matrix/handover.ts
+++ b/packages/anvilhinge/src/matrix/handover.ts
@@ -15,6 +15,7 @@
   getLeavingAtMs(): number | undefined;
 }
 
+/** Short, so that the call is still in flight. */
 const startDelayMs = 4;
 const resendIntervalMs = 500;
 
--- a/packages/anvilhinge/src/matrix/main.ts
+++ b/packages/anvilhinge/src/matrix/main.ts
@@ -1,4 +1,7 @@
-/** Prints the fault matrix: cells without violations of all, by fault. */
+/**
+ * Prints the fault matrix: for each fault and session, the number of cells
+ * without violations and of all cells. Exits with 1 if any cell has violations.
+ */
 import * as cells from "./cells.ts";
 import * as faultPlan from "./fault_plan.ts";
 import * as simulation from "./simulation.ts";
--- a/packages/anvilhinge/src/matrix/matrix_test.ts
+++ b/packages/anvilhinge/src/matrix/matrix_test.ts
@@ -25,7 +25,7 @@
     expect(formatFailures(await cells.runSingleFaults(session))).toEqual([]);
   }, 60_000);
 
-  test("the guarantees hold for pairs of faults", async () => {
+  test("the guarantees hold for random pairs of faults", async () => {
     const pairs = await cells.runFaultPairs(session, {
       seed,
       count: pairCount,
--- a/packages/anvilhinge/src/matrix/network.ts
+++ b/packages/anvilhinge/src/matrix/network.ts
@@ -16,6 +16,7 @@
 
 /** One-way delay in milliseconds. */
 export const latencyMs = 1;
+/** Long enough for later messages of the session to overtake. */
 const reorderDelayMs = 60;
 /**
  * The last copy arrives after the time by which an attempt must start, which is
--- a/packages/anvilhinge/src/matrix/simulation.ts
+++ b/packages/anvilhinge/src/matrix/simulation.ts
@@ -52,9 +52,9 @@
   /** All steps in the order in which they were reached. */
   readonly steps: readonly string[];
   /** Starts of attempts at engines. */
-  readonly starts: readonly agentNode.WorkStart[];
+  readonly starts: readonly agentNode.AttemptStart[];
   /** Starts whose service call took effect. */
-  readonly effects: readonly agentNode.WorkStart[];
+  readonly effects: readonly agentNode.AttemptStart[];
   readonly submissions: readonly caller.Submission[];
   /** Outcome lookup after the run, for a call that must not run twice. */
   readonly callOutcome?: outcomeLookup.CallOutcome;
@@ -64,9 +64,11 @@
 
 const upstreamCount = 3;
 const half = "association";
+/** Longer than the 5 s within which an attempt must start. */
 const pauseMs = 6_000;
+/** Duration of object store faults that are not limited to one call. */
 const storeFaultMs = 5_000;
-const storeDelayMs = 300;
+const slowStoreDelayMs = 300;
 const lateWriteDelayMs = 3_000;
 const rankStallMs = 20_000;
 /** Time within which every session settles. */
@@ -85,8 +87,8 @@
     objectApi.createObjectApi(),
     { faults: storeFaults, scheduler: timers },
   );
-  const starts: agentNode.WorkStart[] = [];
-  const effects: agentNode.WorkStart[] = [];
+  const starts: agentNode.AttemptStart[] = [];
+  const effects: agentNode.AttemptStart[] = [];
   const isModel = options.session === "streamed model call";
   const isRepeatable = isModel || options.session === "idempotent service call";
   let attemptCount = 0;
@@ -164,7 +166,7 @@
       case "store_down":
         return setStoreFault({ kind: "down" });
       case "store_slow":
-        return setStoreFault({ kind: "slow", delayMs: storeDelayMs });
+        return setStoreFault({ kind: "slow", delayMs: slowStoreDelayMs });
       case "store_answer_lost":
         return setStoreFault({ kind: "answer_lost" }, 1);
       case "store_write_late":
@@ -172,7 +174,7 @@
       case "rank_stalls":
         return firstAgent.stall(rankStallMs);
       case "list_stale":
-        // The entries keep an outdated view of the half that owns the group.
+        // The entries still assume that their own half owns the group.
         return firstAgent.setAssignment({
           group: firstAgent.upstream.group,
           half: "water_board",
--- a/packages/anvilhinge/src/stand_ins/engine_orders.ts
+++ b/packages/anvilhinge/src/stand_ins/engine_orders.ts
@@ -101,8 +101,8 @@
     return { outcome: { kind: "fenced", highestFencingNumber }, state };
   }
   const newHighest = Math.max(highestFencingNumber, order.fencingNumber);
-  const raisedState = { ...state, highestFencingNumber: newHighest };
-  return { outcome: { kind: "done" }, state: applyChange(raisedState, order) };
+  const updatedState = { ...state, highestFencingNumber: newHighest };
+  return { outcome: { kind: "done" }, state: applyChange(updatedState, order) };
 }
 
 function applyChange(state: OrderState, order: Order): OrderState {
--- a/packages/anvilhinge/src/stand_ins/engine_rank.ts
+++ b/packages/anvilhinge/src/stand_ins/engine_rank.ts
@@ -45,9 +45,9 @@
    * batch from the queue and returns the random source of each request in it.
    */
   startStep(): readonly random.RandomSource[];
-  /** Advances each request in the batch by one step of prefill or one token. */
+  /** Advances each request in the batch by a step of its prefill or a token. */
   finishStep(): void;
-  /** Fails all requests and empties the cache. */
+  /** Fails all requests with the message and empties the cache. */
   fail(message: string): void;
   countRequests(): RequestCounts;
   isIdle(): boolean;
--- a/packages/anvilhinge/src/stand_ins/instance_list.ts
+++ b/packages/anvilhinge/src/stand_ins/instance_list.ts
@@ -1,4 +1,4 @@
-/** Core of the instance list stand-in: readers see past states of the list. */
+/** Core of the instance list stand-in, which readers see with a lag. */
 import type * as clock from "@anvilhinge/coordination/clock";
 import type * as ports from "../ports/instance_list.ts";
 import type * as faults from "./faults.ts";
@@ -17,6 +17,7 @@
   /** Marks an instance as leaving. */
   markLeaving(id: string): void;
   remove(id: string): void;
+  /** Returns the instances as of `lagMs` ago. */
   list(): readonly ports.Instance[];
 }
 
--- a/packages/anvilhinge/src/stand_ins/local_object_store.ts
+++ b/packages/anvilhinge/src/stand_ins/local_object_store.ts
@@ -1,4 +1,7 @@
-/** Object store client on the core in the same process, with faults. */
+/**
+ * Object store client that calls the core of the object API stand-in directly,
+ * in the same process, and applies faults.
+ */
 import type * as objectStore from "../ports/object_store.ts";
 import * as delay from "../adapters/delay.ts";
 import type * as scheduler from "../ports/scheduler.ts";
@@ -118,7 +121,7 @@
 /**
  * Delivers events from a queue with one timer for each, so that no event
  * arrives while its writer is still running, and no event overtakes an earlier
- * one when the delay changes.
+ * event when the delay changes.
  */
 function startWatch(api: objectApi.ObjectApi, start: WatchStart): void {
   const { sinceVersion, signal, onEvent } = start.watchOptions;
--- a/packages/anvilhinge/src/stand_ins/model_engine.ts
+++ b/packages/anvilhinge/src/stand_ins/model_engine.ts
@@ -12,7 +12,7 @@
 import * as modelEngineOptions from "./model_engine_options.ts";
 import type * as prefixCache from "./prefix_cache.ts";
 
-/** Interval at which a paused group checks for a live rank of each expert. */
+/** Interval at which a paused group checks if each expert has a live rank. */
 const lostExpertRetryMs = 10;
 
 /** Measurements of the group's last step. */
@@ -44,7 +44,7 @@
   ): engineOrders.OrderOutcome;
   readOrderState(rank: number): engineOrders.OrderState;
   setSpeed(rank: number, speed: number): void;
-  /** Stalls the rank; the group finishes no step until it continues. */
+  /** Stalls the rank; the group finishes no step until the rank continues. */
   stall(rank: number, options: { readonly durationMs: number }): void;
   /** Fails the requests of the rank, and new requests until `restart`. */
   crash(rank: number): void;
@@ -65,15 +65,15 @@
 
 /** Creates an idle group whose experts are spread evenly over the ranks. */
 export function createModelEngine(
-  unresolved: modelEngineOptions.ModelEngineOptions,
+  givenOptions: modelEngineOptions.ModelEngineOptions,
 ): ModelEngine {
-  const options = modelEngineOptions.resolveOptions(unresolved);
+  const options = modelEngineOptions.resolveOptions(givenOptions);
   const { scheduler: timers, expertCount, reportLagMs } = options;
   const costs = { baseMs: options.stepMs, tokenMs: options.tokenMs };
   const routing = { ...options, skew: options.expertSkew };
   const ranks = Array.from({ length: options.rankCount }, createGroupRank);
   const totalTokensByExpert = Array.from({ length: expertCount }, () => 0);
-  const steps = laggedValue.createLaggedValue<StepReport>({
+  const lastStep = laggedValue.createLaggedValue<StepReport>({
     clock: timers,
     lagMs: reportLagMs,
     initial: {
@@ -181,8 +181,8 @@
     tokensByExpert.forEach((count, expert) =>
       totalTokensByExpert[expert]! += count
     );
-    steps.set({
-      stepCount: steps.getCurrent().stepCount + 1,
+    lastStep.set({
+      stepCount: lastStep.getCurrent().stepCount + 1,
       durationUs: Math.round((timers.now() - startMs) * 1_000),
       mapVersion,
       rankUs: rankMs.map((durationMs) => Math.round(durationMs * 1_000)),
@@ -191,7 +191,7 @@
   }
 
   function updateLoad({ executor, load }: GroupRank): void {
-    const stepUs = steps.getCurrent().durationUs;
+    const stepUs = lastStep.getCurrent().durationUs;
     load.set({ ...executor.countRequests(), stepUs });
   }
 
@@ -220,7 +220,7 @@
       startStep();
     },
     readLoad: (rank) => getRank(rank).load.get(),
-    readLastStep: () => steps.get(),
+    readLastStep: () => lastStep.get(),
     listCacheEvents: (rank, since) =>
       getRank(rank).executor.listCacheEvents(since),
     applyOrder(rank, order) {
--- a/packages/anvilhinge/src/stand_ins/object_api_test.ts
+++ b/packages/anvilhinge/src/stand_ins/object_api_test.ts
@@ -58,7 +58,7 @@
     expect(api.read("b")).toEqual({ kind: "missing" });
   });
 
-  test("replays kept events to a watch and closes a watch with a gap in its events", () => {
+  test("replays kept events to a watch and closes a watch that needs dropped events", () => {
     const api = objectApi.createObjectApi({ eventLimit: 2 });
     for (let index = 1; index <= 5; index += 1) {
       api.write(`a/${index}`, index, { ifVersion: 0 });
--- a/packages/anvilhinge/src/stand_ins/plain_service.ts
+++ b/packages/anvilhinge/src/stand_ins/plain_service.ts
@@ -39,7 +39,7 @@
 }
 
 export interface PlainService {
-  /** Returns the record with an identifier; each identifier has a record. */
+  /** Returns the record with an identifier; every identifier has a record. */
   readRecord(id: string): ServiceRecord;
   /** Executes a filing, without deduplication by the business identifier. */
   submitFiling(filing: Filing): LedgerEntry;
--- a/packages/anvilhinge/src/stand_ins/weight_store.ts
+++ b/packages/anvilhinge/src/stand_ins/weight_store.ts
@@ -1,4 +1,7 @@
-/** Core of the weight store stand-in: all downloads share one token bucket. */
+/**
+ * Core of the stand-in for the store of model weights: all downloads share one
+ * token bucket.
+ */
 import type * as clock from "@anvilhinge/coordination/clock";
 
 export interface WeightStoreOptions {
--- a/packages/anvilhinge/src/testing/handover_harness.ts
+++ b/packages/anvilhinge/src/testing/handover_harness.ts
@@ -1,8 +1,8 @@
 /**
  * Test harness for complete handovers: the entries of two halves and the agents
- * of one group on manual time. Leases, duties, moves, attempt tables and drained
- * reporters are real; only the network, the engines and the object store are
- * simulated.
+ * of one group on manual time. Leases, control duties, moves, attempt tables and
+ * drained reporters are real; only the network, the engines and the object store
+ * are simulated.
  */
 import * as nodeCrypto from "node:crypto";
 import type * as assignment from "@anvilhinge/coordination/assignment";
@@ -59,7 +59,7 @@
 export interface AttemptStats {
   started: number;
   ended: number;
-  /** Attempts that started but failed. */
+  /** Attempts that started and failed, less those lost in planned restarts. */
   interrupted: number;
   /** Number of refusals by reason; a refused attempt may run elsewhere. */
   readonly refused: Record<string, number>;
@@ -83,6 +83,7 @@
     scheduler,
   });
   const writeFaults = new Map<string, faults.Fault>();
+  /** All assignments written so far, oldest first. */
   const history: assignment.Assignment[] = [];
   const stats: AttemptStats = {
     started: 0,
@@ -138,7 +139,7 @@
     const groupCatalog = catalog.createCatalog();
     const path = `/association/drafting/groups/${group}`;
     const parsed = objects.checkObject(path, groupText);
-    if (parsed.kind === "invalid") throw new Error("Invalid test group");
+    if (parsed.kind === "invalid") throw new Error("Invalid group settings");
     groupCatalog.setObject(parsed.settings);
     const table = upstreams.createUpstreamTable({
       clock: scheduler,
@@ -227,7 +228,7 @@
       moves: moves.createMoveOperations({ ...context, duties }),
       isDead: () => killAbort.signal.aborted,
       kill: () => killAbort.abort(),
-      /** Stops or resumes updates of this entry's view of assignments. */
+      /** While true, the entry ignores new assignments. */
       setStale(value: boolean) {
         isStale = value;
       },
@@ -289,6 +290,7 @@
       rank,
       getTable: () => table,
       getIncarnation: () => incarnation,
+      /** While false, the agent gets no assignments and its reports are lost. */
       setReachable(value: boolean) {
         isReachable = value;
         if (!value) return;
@@ -316,7 +318,8 @@
     { length: rankCount },
     (_, rank) => createAgent(rank),
   );
-  const runningHalves = new Map<string, string>();
+  /** Half of each running attempt, by attempt id. */
+  const halfByAttempt = new Map<string, string>();
 
   function admit(attempt: frames.Attempt): void {
     const key = `${attempt.half} ${attempt.epoch}`;
@@ -326,10 +329,10 @@
       record.half === attempt.half && record.epoch === attempt.epoch &&
       record.state === "serving"
     );
-    if (!wasServing) stats.violations.push(`${key} never served the group`);
-    runningHalves.set(attempt.attemptId, attempt.half);
-    if (new Set(runningHalves.values()).size > 1) {
-      stats.violations.push("Attempts of two halves run concurrently");
+    if (!wasServing) stats.violations.push(`Admitted, never served: ${key}`);
+    halfByAttempt.set(attempt.attemptId, attempt.half);
+    if (new Set(halfByAttempt.values()).size > 1) {
+      stats.violations.push("Attempts of two halves ran concurrently");
     }
   }
 
@@ -373,7 +376,7 @@
     }
     admit(attempt);
     scheduler.schedule(() => {
-      runningHalves.delete(attempt.attemptId);
+      halfByAttempt.delete(attempt.attemptId);
       table.receiveEvent(attempt.attemptId, { kind: "end" });
     }, { delayMs: 200 + 800 * randomSource() });
   }
@@ -413,13 +416,13 @@
   return {
     scheduler,
     storeFaults,
-    writeFaults: writeFaults,
-    stats: stats,
+    writeFaults,
+    stats,
     agents,
     entries,
-    listEntries: listEntries,
+    listEntries,
     history,
-    getAssignment: getAssignment,
+    getAssignment,
     advanceUntil,
     getHolder: (half: Half) =>
       listEntries(half).find((entry) =>
--- a/packages/anvilhinge/src/testing/rank_group_harness.ts
+++ b/packages/anvilhinge/src/testing/rank_group_harness.ts
@@ -25,16 +25,17 @@
   /** Number of the current forward pass. */
   getStep(): number;
   /**
-   * Returns the longest time without the start of a pass since the previous
-   * call, in milliseconds.
+   * Returns the longest stall since the previous call in milliseconds: the time
+   * since the start of the last pass, while the next pass is held back.
    */
   takeLongestStall(): number;
   /** Returns the version of the map that a rank uses. */
   getMapVersion(rank: number): number;
-  /** Whether any rank holds a pass. */
+  /** Whether any engine holds back a pass. */
   isPassHeld(): boolean;
+  /** Whether the engine of a rank is armed to switch its map. */
   isArmed(rank: number): boolean;
-  /** Returns the first pass with different maps; undefined if none. */
+  /** Describes the first pass that ranks ran with different maps, if any. */
   getViolation(): string | undefined;
   /** Pauses the process of an agent; `resumeAgent` runs what it missed. */
   pauseAgent(rank: number): void;
@@ -61,19 +62,22 @@
 
 interface Process {
   isPaused: boolean;
-  /** Whether the engine answers no other machine. */
+  /** Whether other machines get no answer from the engine. */
   isCutOff: boolean;
   /** Tasks that became due while the process was paused. */
   deferred: (() => void)[];
 }
 
+/** Interval between the starts of forward passes. */
 const passMs = 40;
 const epoch = 1;
+/** One-way network latency. */
 const latencyMs = 1;
 /** Time until an engine has loaded the weights of a prepared map. */
 const prepareMs = 150;
 /** Age of the reports that other machines receive. */
 const reportLagMs = 200;
+/** Time after which a call to an unreachable engine fails. */
 const answerTimeoutMs = 200;
 const expertCount = 64;
 const runningRequests = 6;
@@ -111,7 +115,7 @@
     isCutOff: false,
     deferred: [],
   }));
-  const counts = Array.from({ length: expertCount }, () => 0);
+  const tokensByExpert = Array.from({ length: expertCount }, () => 0);
   /** Recent reports of all ranks, oldest first, for the lagging reads. */
   let history: {
     readonly atMs: number;
@@ -168,10 +172,10 @@
     }
     const maps = new Set(engines.map(({ map }) => map.version));
     if (maps.size > 1) violation ??= `pass ${step}: ${[...maps].join(" ")}`;
-    for (const expert of counts.keys()) counts[expert]! += 2;
+    for (const expert of tokensByExpert.keys()) tokensByExpert[expert]! += 2;
     for (let index = 0; index < hotExpertCount; index += 1) {
       const tokens = tokensPerPass / (index + 1);
-      counts[(firstHotExpert + index) % expertCount]! += tokens;
+      tokensByExpert[(firstHotExpert + index) % expertCount]! += tokens;
     }
   }
 
@@ -271,7 +275,8 @@
     return {
       readReport: () =>
         requestValue(() => isRemote ? readLaggedReport() : createReport(rank)),
-      readCounts: () => requestValue(() => ({ epoch, counts: [...counts] })),
+      readCounts: () =>
+        requestValue(() => ({ epoch, counts: [...tokensByExpert] })),
       readExperts: () =>
         requestValue(() => {
           const { version, layers } = engines[rank]!.map;
--- a/packages/coordination/src/testing/dispatch_simulation.ts
+++ b/packages/coordination/src/testing/dispatch_simulation.ts
@@ -31,7 +31,7 @@
   readonly late: number;
   /** Requests that the caller abandoned before a grant or a refusal. */
   readonly abandoned: number;
-  /** Requests that were refused and not retried again. */
+  /** Requests whose last refusal was not retried. */
   readonly refused: number;
   /** All requests; retries are not counted. */
   readonly arrived: number;
@@ -140,6 +140,7 @@
     return options.rankCount * options.slots - running.size;
   }
 
+  /** Reports the state of an entry to the hub and executes its decisions. */
   function report(entry: number): void {
     if (options.isFifo) return grantFifo();
     const decisions = [...hub.receive(buildState(entry)).values()];
@@ -208,6 +209,7 @@
     const { caller } = request;
     const limit = caller.retriesAtOnce ? maxImmediateRetries : maxRetries;
     const delayMs = caller.retriesAtOnce ? 5 : retryAfterMs;
+    // A caller starts no retry after a third of the deadline.
     const isFinal = caller.retries >= limit ||
       manual.now() + delayMs > caller.firstAtMs + deadlineMs / 3;
     if (isFinal) {
--- a/packages/coordination/src/testing/group_simulation.ts
+++ b/packages/coordination/src/testing/group_simulation.ts
@@ -32,7 +32,7 @@
     order: rankOrders.RankOrder,
     outcome: rankOrders.OrderOutcome,
   ) => rankOrders.OrderOutcome;
-  /** Whether an order is sent; an order that is not counts as done. */
+  /** Whether an order is sent; an unsent order is treated as done. */
   readonly isSent?: (order: rankOrders.RankOrder) => boolean;
   readonly createVersion?: (knownVersion: number) => number;
   readonly getLeaderRank?: (version: number) => number;
@@ -44,22 +44,22 @@
   readonly seed: number;
   readonly rankCount: number;
   readonly leaderCount: number;
-  /** Length of the simulation. */
+  /** Number of simulation steps. */
   readonly steps: number;
   readonly faults: GroupFaults;
   /**
-   * Share of the steps that begin a forward pass; low if the group is almost
-   * idle.
+   * Share of the simulation steps that begin a forward pass; low if the group
+   * is almost idle.
    * @default 0.12
    */
   readonly passShare?: number;
   /**
-   * Length of the alternating busy and idle periods in steps. The group begins
-   * no passes while it is idle. Default: always busy.
+   * Length of the alternating busy and idle periods in simulation steps. The
+   * group begins no passes while it is idle. Default: always busy.
    */
   readonly idlePeriodSteps?: number;
   /**
-   * Share of the steps that execute a late order.
+   * Share of the simulation steps that execute a late order.
    * @default 0.04
    */
   readonly lateTaskShare?: number;
@@ -101,6 +101,7 @@
 
 const initialLayers: rankOrders.MapLayers = [[[0]]];
 const maxSendAttempts = 4;
+/** Number of passes between the current pass and the pass of a switch. */
 const leadPasses = 2;
 const stallSteps = 200;
 const defaultPassShare = 0.12;
@@ -141,7 +142,8 @@
     });
   }
 
-  function openGroup(): void {
+  /** Replaces all ranks by freshly started ranks. */
+  function startGroup(): void {
     ranks = Array.from({ length: options.rankCount }, () => ({
       sequence: 0,
       map: { version: 0, layers: initialLayers },
@@ -153,8 +155,8 @@
     }));
   }
 
-  function isLikely(share: number): boolean {
-    return draw() < share;
+  function sampleChance(probability: number): boolean {
+    return draw() < probability;
   }
 
   function readState(index: number): rankOrders.RankState {
@@ -172,7 +174,7 @@
     };
   }
 
-  /** Executes an order with the observed behaviour of engines. */
+  /** Executes an order as real engines were observed to. */
   function applyOrder(
     index: number,
     order: rankOrders.RankOrder,
@@ -220,12 +222,12 @@
     },
   ): rankOrders.OrderReply {
     if (ranks[index]!.stallLeft > 0) return "unknown";
-    if (isLikely(faults.lateOrder)) {
+    if (sampleChance(faults.lateOrder)) {
       lateOrders.push(() => applyOrder(index, order, orderEpoch));
       return "unknown";
     }
     const reply = applyOrder(index, order, orderEpoch);
-    return isLikely(faults.lostReply) ? "unknown" : reply;
+    return sampleChance(faults.lostReply) ? "unknown" : reply;
   }
 
   /** Settles an order as the agent of the rank does, one effect per task. */
@@ -303,7 +305,7 @@
         const { call, rank, order } = effect;
         const answer = (outcome: rankOrders.OrderOutcome) =>
           feedRound(
-            isLikely(faults.lostOutcome)
+            sampleChance(faults.lostOutcome)
               ? { kind: "late", call, rank }
               : { kind: "outcome", call, rank, outcome },
           );
@@ -392,15 +394,15 @@
       leader.frozenFor -= 1;
       return;
     }
-    if (isLikely(faults.leaderFreeze)) leader.frozenFor = 60;
-    if (isLikely(faults.leaderRestart)) {
+    if (sampleChance(faults.leaderFreeze)) leader.frozenFor = 60;
+    if (sampleChance(faults.leaderRestart)) {
       leader.tasks = [];
       leader.round = undefined;
       leader.lastHeldStep = step + switchRound.maxAheadPasses;
       leader.createVersion = createVersionGenerator(leader.rank);
     }
     if (leader.tasks.length === 0) {
-      if (leader.round === undefined && isLikely(0.3)) startRound(leader);
+      if (leader.round === undefined && sampleChance(0.3)) startRound(leader);
       return;
     }
     const index = Math.floor(draw() * leader.tasks.length);
@@ -408,12 +410,12 @@
     task?.();
   }
 
-  function stopMachine(): void {
+  function startMachineStall(): void {
     const index = Math.floor(draw() * options.rankCount);
     ranks[index]!.stallLeft = stallSteps;
   }
 
-  openGroup();
+  startGroup();
   for (let count = 0; count < options.steps; count += 1) {
     nowMs += 1;
     const roll = draw();
@@ -427,10 +429,10 @@
       runLeader(leaders[Math.floor(draw() * leaders.length)]!);
     }
     for (const rank of ranks) rank.stallLeft = Math.max(0, rank.stallLeft - 1);
-    if (isLikely(faults.standstill)) stopMachine();
-    if (isLikely(faults.newEpoch)) {
+    if (sampleChance(faults.standstill)) startMachineStall();
+    if (sampleChance(faults.newEpoch)) {
       epoch += 1;
-      openGroup();
+      startGroup();
     }
     if (violation !== undefined) break;
   }
--- a/packages/coordination/src/testing/lease_node.ts
+++ b/packages/coordination/src/testing/lease_node.ts
@@ -17,7 +17,10 @@
   readonly onStartedHolding?: (fencingNumber: number) => void;
 }
 
-/** Starts the lease on the node; tests can inspect and feed the returned lease. */
+/**
+ * Starts the lease on the node. Tests can inspect the returned lease and feed
+ * events to it; its effects are executed by the node, not returned.
+ */
 export function runLeaseNode(options: LeaseNodeOptions): lease.Lease {
   const { node, store, key } = options;
   const timers = new Map<lease.TimerName, AbortController>();
--- a/packages/coordination/src/testing/round_model.ts
+++ b/packages/coordination/src/testing/round_model.ts
@@ -11,6 +11,7 @@
 import type * as roundMessages from "../maps/round_messages.ts";
 import * as roundRank from "../maps/round_rank.ts";
 
+/** A message in the network. */
 type Packet =
   | {
     readonly to: "rank";
@@ -29,6 +30,7 @@
   readonly call: number;
   readonly record: roundMessages.MapRecord;
   readonly ifVersion: number;
+  /** Undefined until the object API has applied or rejected the write. */
   readonly answer: roundLeader.StoreAnswer | undefined;
 }
 
@@ -56,7 +58,7 @@
   readonly packets: readonly Packet[];
   readonly writes: readonly PendingWrite[];
   readonly budgets: ActionBudgets;
-  /** Map version that the first rank to run each step used. */
+  /** Map version of each step, as used by the first rank that ran it. */
   readonly usedVersions: readonly number[];
   /** Set after two ranks used different maps in one step. */
   readonly violation: string | undefined;
@@ -81,9 +83,9 @@
 export interface ModelOptions {
   readonly rankCount: number;
   readonly marginSteps: number;
-  /** First step that no rank runs; bounds the state space. */
+  /** Ranks run no step from this number on; bounds the state space. */
   readonly stepLimit: number;
-  /** True if no rank starts a step before all ranks have run the previous. */
+  /** Whether a rank starts a step only after all ranks ran the step before. */
   readonly hasBarrier: boolean;
   readonly budgets: ActionBudgets;
   /**
@@ -202,7 +204,7 @@
     return feedRank(gated, rank, { kind: "held", epoch }, leader);
   }
 
-  /** Sends the report to a leader; without `leader`, to all leaders. */
+  /** Sends the report of a rank to `leader`, or to all leaders without it. */
   function sendReport(
     state: ModelState,
     rank: number,
@@ -498,6 +500,7 @@
   };
 }
 
+/** Returns a short hash of the state key, to save memory. */
 function hashState(state: ModelState): string {
   return nodeCrypto.hash("md5", getStateKey(state), "base64");
 }
--- a/packages/coordination/src/testing/simulation.ts
+++ b/packages/coordination/src/testing/simulation.ts
@@ -116,13 +116,14 @@
   ): void;
   /** Adds faults for the next calls, one for each call. */
   addFaults(...faults: readonly StoreFault[]): void;
-  /** Makes all calls fail as unavailable while true. */
+  /** While true, all calls fail as unavailable. */
   setDown(isDown: boolean): void;
   /** Returns the current object; not counted as a call. */
   getObject(key: string): versionedStore.StoredObject | undefined;
   countCalls(): { readonly reads: number; readonly writes: number };
 }
 
+/** Time after which a call without an answer fails. */
 const callTimeoutMs = 300;
 
 /** Creates an empty store; `latencyMs` is the one-way network latency. */
