--- a/packages/anvilhinge/bench/simulated_scheduler.ts
+++ b/packages/anvilhinge/bench/simulated_scheduler.ts
@@ -5,7 +5,7 @@
 import type * as scheduler from "../src/ports/scheduler.ts";
 
 export interface SimulatedScheduler extends scheduler.Scheduler {
-  /** Advances the time by the duration and runs the timers due until then. */
+  /** Advances the time by the duration; runs the timers due before its end. */
   run(durationMs: number): Promise<void>;
 }
 
--- a/packages/coordination/bench/choice_balance.ts
+++ b/packages/coordination/bench/choice_balance.ts
@@ -1,7 +1,8 @@
 /**
- * Simulates one failure domain to compare the load balance of upstream selection
- * strategies: 1,100 upstreams in 26 pools and 43 nodes. Each node receives
- * delayed load reports, and only for the attempts that it dispatched itself.
+ * Simulates one failure domain to compare the load balance of upstream
+ * selection strategies: 1,100 upstreams in 26 pools and 43 nodes. Each node
+ * receives delayed load reports, and only for the attempts that it dispatched
+ * itself.
  */
 import * as choice from "../src/choice.ts";
 import type * as loadEstimate from "../src/load_estimate.ts";
@@ -10,7 +11,7 @@
 import * as eventQueue from "./event_queue.ts";
 import * as queueModel from "./queue_model.ts";
 
-/** Selection of upstreams at one node. */
+/** Strategy by which one node selects upstreams. */
 export interface Strategy {
   /** Returns the id of the chosen upstream. */
   choose(pool: number, prefixKeys: readonly number[]): string;
@@ -36,7 +37,7 @@
 export interface BalanceOptions {
   readonly seed: number;
   readonly createStrategy: CreateStrategy;
-  /** Share of the groups whose steps take twice as long. */
+  /** Share of the groups whose forward passes (steps) take twice as long. */
   readonly slowGroupShare: number;
   /** Offered load divided by capacity. */
   readonly utilization: number;
@@ -65,6 +66,7 @@
 const nodesPerWorkspace = 3;
 const slotsPerUpstream = 16;
 const lagMs = 100;
+/** Duration of a forward pass at normal speed. */
 const stepUs = 33_000;
 const meanWorkMs = 3_000;
 /** Number of prefixes in the LRU cache of an upstream. */
@@ -160,13 +162,16 @@
       -Math.log(1 - source()) * meanArrivalIntervalMs,
     );
     const pool = Math.floor(source() * poolCount);
-    const count = Math.floor((workspaceCount - 1 - pool) / poolCount) + 1;
-    const index = pool + poolCount * pickSkewedIndex(source, count);
-    const workspace = workspaces[index] as (typeof workspaces)[number];
+    const workspacesInPool =
+      Math.floor((workspaceCount - 1 - pool) / poolCount) + 1;
+    const workspaceIndex = pool +
+      poolCount * pickSkewedIndex(source, workspacesInPool);
+    const workspace = workspaces[workspaceIndex] as (typeof workspaces)[number];
     const nodeIndex = Math.floor(source() * workspace.nodes.length);
     const { strategy } = workspace.nodes[nodeIndex] as (typeof nodes)[number];
     const prefix = pickSkewedIndex(source, options.prefixesPerWorkspace);
-    const key = index * 1_000 + prefix + 1;
+    const key = workspaceIndex * 1_000 + prefix + 1;
+    // Knuth's multiplicative hash.
     const prefixKeys = [key * 2_654_435_761 % 2 ** 32];
     const id = strategy.choose(workspace.pool, prefixKeys);
     const sentAtMs = events.now();
--- a/packages/coordination/bench/fake_cluster.ts
+++ b/packages/coordination/bench/fake_cluster.ts
@@ -195,7 +195,7 @@
     node: SimulatedNode,
     options: {
       readonly failures: number;
-      /** Whether to stop retrying once the node is ready by other means. */
+      /** Whether retries end when the node is ready without the list. */
       readonly stopsWhenReady?: boolean;
       readonly onListed?: () => void;
     },
--- a/packages/coordination/bench/maps/main.ts
+++ b/packages/coordination/bench/maps/main.ts
@@ -106,7 +106,7 @@
     shares: first!.shares,
     speeds,
   });
-  const heapBefore = process.memoryUsage().heapUsed;
+  const heapBeforeBytes = process.memoryUsage().heapUsed;
   const startMs = performance.now();
   const plan = planner.planMap({
     map,
@@ -121,7 +121,7 @@
     bytesPerMs: policies.bytesPerMs,
   });
   const elapsedMs = performance.now() - startMs;
-  const heapMb = (process.memoryUsage().heapUsed - heapBefore) / 1e6;
+  const heapMb = (process.memoryUsage().heapUsed - heapBeforeBytes) / 1e6;
   console.log(
     `128 ranks, 64 experts, ${layerCount} layers: ${plan.kind} in ` +
       `${elapsedMs.toFixed(0)} ms, heap grew by ${heapMb.toFixed(1)} MB`,
--- a/packages/coordination/bench/maps/policies.ts
+++ b/packages/coordination/bench/maps/policies.ts
@@ -7,6 +7,7 @@
 import type * as random from "../../src/random.ts";
 import type * as traces from "./traces.ts";
 
+/** The number in the name of a planner policy is its skew weight. */
 export const policyNames = [
   "never",
   "timer",
--- a/packages/coordination/bench/overload.ts
+++ b/packages/coordination/bench/overload.ts
@@ -31,10 +31,10 @@
   }
 }
 
-function printRetries(failedShare: number, noise: number): void {
+function printRetries(failedShare: number, baseFailureShare: number): void {
   console.log(
     `\nretries, seed ${seed}, ${formatShare(failedShare)} of upstreams fail, ${
-      formatShare(noise)
+      formatShare(baseFailureShare)
     } of attempts fail at healthy ones`,
   );
   for (const usesHealth of [false, true]) {
@@ -43,7 +43,7 @@
         seed,
         usesBudget,
         usesHealth,
-        baseFailureShare: noise,
+        baseFailureShare,
         failedShare,
       });
       console.log([
--- a/packages/coordination/bench/retry_model.ts
+++ b/packages/coordination/bench/retry_model.ts
@@ -32,7 +32,7 @@
 const attemptMs = 200;
 /** Duration of an attempt that fails. */
 const failedAttemptMs = 10;
-/** Time at which the upstreams fail; results are counted from then on. */
+/** Time at which upstreams fail; requests and attempts count from then on. */
 const failAtMs = 10_000;
 const durationMs = 60_000;
 const maxAttempts = 4;
--- a/packages/coordination/bench/spread.ts
+++ b/packages/coordination/bench/spread.ts
@@ -1,6 +1,6 @@
 /**
- * Measures settings propagation, membership and a store outage on a fake network
- * in simulated time:
+ * Measures settings propagation, membership and an object store outage on a
+ * fake network in simulated time:
  * `npm run bench:spread -- [--seed 1] [--quick] [--part spread]`. The parts are
  * `spread`, `membership`, `outage` and `all`.
  */
@@ -93,7 +93,7 @@
   }, sampleIntervalMs(options.ratePerMs, options.random));
 }
 
-/** Measures the time until a change reaches the nodes, and the cost of it. */
+/** Measures the time and the cost of the propagation of changes. */
 function measureSpread(
   size: ClusterSize,
   options: {
@@ -219,7 +219,7 @@
   const source = random.createRandomSource(options.seed);
   const queue = eventQueue.createEventQueue();
   const stoppedAtMs = new Map<string, number>();
-  /** Nodes that have removed a stopped node, by its id. */
+  /** Ids of the nodes that have removed a stopped node, by its id. */
   const removedBy = new Map<string, Set<string>>();
   const firstDelays = hdr.build();
   const allDelays = hdr.build();
@@ -297,8 +297,8 @@
       `(${allDelays.totalCount} of ${stopCount})`,
   );
   console.log(
-    `  false removals: ${falselyRemoved.size} nodes in ${falseRemovalCount} views` +
-      `, false suspicions: ${falseSuspicionCount} in all views`,
+    `  false removals: ${falselyRemoved.size} nodes, in ${falseRemovalCount} ` +
+      `member lists; false suspicions: ${falseSuspicionCount} in all lists`,
   );
   console.log(`  sent per node: ${Math.round(bytesPerSecond)} bytes/s`);
 }
@@ -359,18 +359,20 @@
       `${size.objectCount} objects`,
   );
   console.log(
-    `  restarted: ${restartedIds.length}, ready from peers: ${readyCount}`,
+    `  nodes restarted: ${restartedIds.length}, ready from peers: ${readyCount}`,
   );
   console.log(
-    `  calls/s during the outage: ${
+    `  object store calls/s during the outage: ${
       (callsDuring / outageMs * 1_000).toFixed(2)
     }`,
   );
   console.log(
-    `  calls in each second after the outage: ${callsAfter.join(", ")}`,
+    `  object store calls in each second after the outage: ${
+      callsAfter.join(", ")
+    }`,
   );
   console.log(
-    `  first change afterwards: ${updatedCount} of ${size.nodeCount} nodes have it, ` +
+    `  first change after the outage: ${updatedCount} of ${size.nodeCount} nodes received it, ` +
       `the last after ${Math.round(lastApplyAtMs - endMs)} ms`,
   );
 }
--- a/scripts/binary_system.ts
+++ b/scripts/binary_system.ts
@@ -1,6 +1,6 @@
 /**
- * Runs entries and agents as processes of the built binary. The stand-ins of the
- * platform and of one model group run in the calling process.
+ * Runs entries and agents as processes of the built binary. The stand-ins of
+ * the platform and of one model group run in the calling process.
  */
 import * as childProcess from "node:child_process";
 import { once } from "node:events";
@@ -49,7 +49,7 @@
   readonly binary: string;
   /** Folder for the settings files. */
   readonly folder: string;
-  /** Duration of an engine step without load, in milliseconds. */
+  /** Duration of a forward pass of the engine without load, in milliseconds. */
   readonly stepMs: number;
 }
 
@@ -88,7 +88,9 @@
     if (match !== null) return match.slice(1);
     const { exitCode, signalCode } = child.process;
     if (exitCode !== null || signalCode !== null) {
-      throw new Error(`${child.id} exited: ${child.getOutput()}`);
+      throw new Error(
+        `${child.id} exited before it served: ${child.getOutput()}`,
+      );
     }
     await new Promise((resolve) => setTimeout(resolve, 20));
   }
@@ -141,7 +143,7 @@
   }, { ifVersion: 0 });
 }
 
-/** Starts the stand-ins and all processes; resolves when all processes serve. */
+/** Starts the stand-ins and the processes; resolves when all of them serve. */
 export async function startBinarySystem(
   options: BinarySystemOptions,
 ): Promise<BinarySystem> {
--- a/scripts/build_platform.cjs
+++ b/scripts/build_platform.cjs
@@ -1,5 +1,5 @@
-// Builds the deployment for the users' platform into target/: the bundle and the
-// Node.js runtime that the lock file pins.
+// Builds what deploy/system.toml runs on the users' platform into target/: the
+// bundle and the Node.js runtime that the lock file pins.
 const fs = require("node:fs");
 const path = require("node:path");
 const esbuild = require("esbuild");
--- a/scripts/capacity/control.ts
+++ b/scripts/capacity/control.ts
@@ -28,13 +28,14 @@
   readonly bytesPerSecond: number;
   /** Object store calls of all nodes. */
   readonly callsPerSecond: number;
+  /** Open watch calls of all nodes. */
   readonly watches: number;
   readonly cpuUsPerSecond: number;
   /** Longest time from a write until a node applied it. */
   readonly maxDelayMs: number;
 }
 
-/** Simulates gossip and membership of `nodeCount` entries while settings change. */
+/** Simulates gossip and membership of the entries while settings change. */
 async function measurePropagation(nodeCount: number): Promise<PropagationCost> {
   const queue = eventQueue.createEventQueue();
   const source = random.createRandomSource(seed);
@@ -141,7 +142,10 @@
   return cpuUs / rounds;
 }
 
-/** Returns the share of workspaces whose first entry changes if one leaves. */
+/**
+ * Returns the share of workspaces whose first entry changes if one entry
+ * leaves.
+ */
 function measureChurn(count: number): number {
   const members = createMembers(count);
   const workspaceCount = 20_000;
@@ -154,7 +158,7 @@
   return movedCount / workspaceCount;
 }
 
-function collect(
+function buildSamples(
   sizes: readonly number[],
   values: readonly number[],
 ): readonly fit.Sample[] {
@@ -178,7 +182,7 @@
     cost: name,
     unit,
     sizeUnit: "entries",
-    samples: collect(nodeCounts, costs.map(read)),
+    samples: buildSamples(nodeCounts, costs.map(read)),
     targetSize: 430,
   });
   return [
@@ -212,7 +216,7 @@
       cost: "state of a node",
       unit: "bytes",
       sizeUnit: "objects of 600 bytes",
-      samples: collect(objectCounts, replicas.map(({ bytes }) => bytes)),
+      samples: buildSamples(objectCounts, replicas.map(({ bytes }) => bytes)),
       targetSize: 1_600,
     },
     {
@@ -220,7 +224,7 @@
       cost: "one change and one digest",
       unit: "us",
       sizeUnit: "objects of 600 bytes",
-      samples: collect(objectCounts, replicas.map(({ cpuUs }) => cpuUs)),
+      samples: buildSamples(objectCounts, replicas.map(({ cpuUs }) => cpuUs)),
       targetSize: 1_600,
     },
     {
@@ -228,7 +232,7 @@
       cost: "one answer",
       unit: "us",
       sizeUnit: "entries",
-      samples: collect(nodeCounts, answerUs),
+      samples: buildSamples(nodeCounts, answerUs),
       targetSize: 430,
     },
     {
@@ -236,7 +240,7 @@
       cost: "workspaces moved when one entry leaves",
       unit: "share",
       sizeUnit: "entries",
-      samples: collect(nodeCounts, nodeCounts.map(measureChurn)),
+      samples: buildSamples(nodeCounts, nodeCounts.map(measureChurn)),
       targetSize: 430,
     },
   ];
--- a/scripts/capacity/fit.ts
+++ b/scripts/capacity/fit.ts
@@ -35,7 +35,7 @@
   return { slope, intercept: meanY - slope * meanX };
 }
 
-/** Fits at least three samples. */
+/** Fits a line and a power law to at least three samples. */
 export function fitSamples(samples: readonly Sample[]): Fit {
   const line = fitLine(samples.map(({ size, value }) => [size, value]));
   const squares = samples.map(({ size, value }) =>
--- a/scripts/capacity/work.ts
+++ b/scripts/capacity/work.ts
@@ -1,4 +1,4 @@
-/** Measures the request path: upstream selection, retained frames and streams. */
+/** Measures the request path: selection, retained frames and streams. */
 import * as choice from "@anvilhinge/coordination/choice";
 import * as clock from "@anvilhinge/coordination/clock";
 import * as random from "@anvilhinge/coordination/random";
@@ -200,7 +200,7 @@
   return cpuUs / (frameCount * tokensPerFrame);
 }
 
-function collect(
+function buildSamples(
   sizes: readonly number[],
   values: readonly number[],
 ): readonly fit.Sample[] {
@@ -221,7 +221,7 @@
       cost: "state of an entry",
       unit: "bytes",
       sizeUnit: "upstreams",
-      samples: collect(upstreamCounts, choices.map(({ bytes }) => bytes)),
+      samples: buildSamples(upstreamCounts, choices.map(({ bytes }) => bytes)),
       targetSize: 11_000,
     },
     {
@@ -229,7 +229,7 @@
       cost: "choose, sent, ended",
       unit: "us",
       sizeUnit: "upstreams",
-      samples: collect(upstreamCounts, choices.map(({ cpuUs }) => cpuUs)),
+      samples: buildSamples(upstreamCounts, choices.map(({ cpuUs }) => cpuUs)),
       targetSize: 11_000,
     },
     {
@@ -237,7 +237,7 @@
       cost: "state of an agent",
       unit: "bytes",
       sizeUnit: "answers of 300 tokens",
-      samples: collect(
+      samples: buildSamples(
         answerCounts,
         retained.map(({ bytes }) => bytes),
       ),
@@ -248,7 +248,7 @@
       cost: "one token",
       unit: "us",
       sizeUnit: "answers of 300 tokens",
-      samples: collect(
+      samples: buildSamples(
         answerCounts,
         retained.map(({ cpuUs }) => cpuUs),
       ),
@@ -259,7 +259,7 @@
       cost: "one token, both ends",
       unit: "us",
       sizeUnit: "tokens a frame",
-      samples: collect(batchSizes, streamCostsUs),
+      samples: buildSamples(batchSizes, streamCostsUs),
       targetSize: 16,
     },
   ];
--- a/scripts/demo.ts
+++ b/scripts/demo.ts
@@ -1,6 +1,6 @@
 /**
- * Starts the complete system on loopback, sends a mixed load of both workloads,
- * prints a report, and exits with 1 if a guarantee was violated.
+ * Starts the complete system on loopback, sends model and service requests to
+ * both halves, prints a report, and exits with 1 if a guarantee was violated.
  */
 import * as nodePath from "node:path";
 import * as random from "@anvilhinge/coordination/random";
@@ -40,7 +40,10 @@
   });
 }
 
-/** Sends small loads until one shows that each group admits work. */
+/**
+ * Sends small loads until all requests of one load are answered, which shows
+ * that each group admits work.
+ */
 async function waitUntilServing(
   options: Omit<
     load.LoadOptions,
@@ -65,7 +68,10 @@
     .join(", ");
 }
 
-/** Describes the slowest over the mean rank time of each group's last step. */
+/**
+ * Describes the slowest over the mean rank time of each group's last forward
+ * pass.
+ */
 function describeSkew(running: system.RunningSystem): string {
   return running.groups.flatMap(({ name, engine }) => {
     if (engine === undefined) return [];
--- a/scripts/known_red.ts
+++ b/scripts/known_red.ts
@@ -95,18 +95,18 @@
     suite.assertionResults.map((test) => ({ ...test, file: suite.name }))
   );
   const failed = results.filter(({ status }) => status === "failed");
-  function isListed(
+  function isMatch(
     test: (typeof results)[number],
     entry: KnownFailure,
   ): boolean {
     return test.file.endsWith(`/${entry.file}`) && test.fullName === entry.name;
   }
   const isAllListed = failed.length > 0 &&
-    failed.every((test) => entries.some((entry) => isListed(test, entry)));
+    failed.every((test) => entries.some((entry) => isMatch(test, entry)));
   const isReportComplete = report.numRuntimeErrorTestSuites === 0 &&
     !report.wasInterrupted;
   const lines = entries.map((entry) => {
-    const matches = results.filter((test) => isListed(test, entry));
+    const matches = results.filter((test) => isMatch(test, entry));
     const label = `${entry.file}${separator}${entry.name}`;
     if (matches.some(({ status }) => status === "failed")) {
       return `Known red, failed: ${label} (${entry.issue})`;
