--- a/packages/anvilhinge/src/agent/ranks/order_runner.ts
+++ b/packages/anvilhinge/src/agent/ranks/order_runner.ts
@@ -24,7 +24,7 @@
   const settler = orderSettler.createOrderSettler({
     order,
     epoch,
-    maxSendAttempts: maxSends,
+    maxSends: maxSends,
   });
   const abort = new AbortController();
 
--- a/packages/anvilhinge/src/entry/choice/dispatch_policy.ts
+++ b/packages/anvilhinge/src/entry/choice/dispatch_policy.ts
@@ -178,7 +178,7 @@
     return {
       chooseUpstream: (attemptedIds) =>
         table.choose(need, {
-          tried: attemptedIds,
+          attemptedIds: attemptedIds,
           prefixKeys,
           leftMs: request.deadlineAtMs - clock.now(),
         }),
--- a/packages/anvilhinge/src/entry/choice/routed_policy.ts
+++ b/packages/anvilhinge/src/entry/choice/routed_policy.ts
@@ -43,7 +43,7 @@
     observation: Extract<session.SessionEffect, { kind: "observe" }>,
   ): void;
   /** Records a gap between two events of the answer, in milliseconds. */
-  recordPause(gapMs: number): void;
+  recordGap(gapMs: number): void;
   /** Returns the attempts and the wait of the request, for its log line. */
   describe(): DispatchRecord;
   /** Must be called once, when the request is done. */
@@ -350,9 +350,9 @@
         options.metrics.recordRetry(isTaken);
         return isTaken;
       },
-      recordPause(gapMs) {
+      recordGap(gapMs) {
         if (engine !== undefined) {
-          slots.recordPause(request.service, gapMs);
+          slots.recordGap(request.service, gapMs);
         }
       },
       describe: () => ({
--- a/packages/anvilhinge/src/entry/choice/slot_coordinator.ts
+++ b/packages/anvilhinge/src/entry/choice/slot_coordinator.ts
@@ -40,7 +40,7 @@
     upstreams: readonly work.UpstreamSpec[],
     pools: readonly work.PoolSpec[],
   ): void;
-  recordPause(pool: string, gapMs: number): void;
+  recordGap(pool: string, gapMs: number): void;
   requestSlot(request: workClient.SlotRequest): void;
   recordStart(request: work.RunningRequest): void;
   drop(key: string): void;
@@ -156,7 +156,7 @@
       client.setUpstreams(upstreams);
       hub.setUpstreams(upstreams, pools);
     },
-    recordPause: client.recordPause,
+    recordGap: client.recordGap,
     requestSlot(request) {
       client.requestSlot(request);
       scheduleReport();
--- a/packages/anvilhinge/src/entry/choice/upstreams.ts
+++ b/packages/anvilhinge/src/entry/choice/upstreams.ts
@@ -38,7 +38,7 @@
 
 export interface ChooseOptions {
   /** Ids of the upstreams that the request was already dispatched to. */
-  readonly tried: ReadonlySet<string>;
+  readonly attemptedIds: ReadonlySet<string>;
   readonly prefixKeys?: readonly number[];
   /** Time left until the request's deadline, in milliseconds. */
   readonly leftMs?: number;
@@ -211,12 +211,12 @@
     options: choice.ChooseOptions,
   ): choice.ChoiceOutcome<LocatedUpstream> {
     const first = chooser.choose(pool, options);
-    if (options.tried.size === 0) return first;
-    const excludedIds = new Set(options.tried);
+    if (options.attemptedIds.size === 0) return first;
+    const excludedIds = new Set(options.attemptedIds);
     let outcome = first;
     while (outcome.kind === "chosen" && isHalfOpen(outcome.upstream.id)) {
       excludedIds.add(outcome.upstream.id);
-      outcome = chooser.choose(pool, { ...options, tried: excludedIds });
+      outcome = chooser.choose(pool, { ...options, attemptedIds: excludedIds });
     }
     return outcome.kind === "exhausted" ? first : outcome;
   }
--- a/packages/anvilhinge/src/entry/control/gossip_node.ts
+++ b/packages/anvilhinge/src/entry/control/gossip_node.ts
@@ -96,7 +96,7 @@
           "store",
           `The object store is unavailable: ${message}`,
         );
-        deliver({ kind: "store_away" });
+        deliver({ kind: "store_unavailable" });
       },
     };
   }
@@ -222,6 +222,6 @@
     },
     listMembers: member.listMembers,
     publishLeaving: () => deliver({ kind: "leave" }),
-    setWeight: (weight) => deliver({ kind: "weighed", weight }),
+    setWeight: (weight) => deliver({ kind: "weight_changed", weight }),
   };
 }
--- a/packages/anvilhinge/src/entry/operators/settings_change.ts
+++ b/packages/anvilhinge/src/entry/operators/settings_change.ts
@@ -249,7 +249,7 @@
     const outcome = await options.store.read(key);
     if (outcome.kind === "unavailable") return outcome;
     stored = outcome.kind === "found" ? outcome.object : undefined;
-    return { kind: "read", present: extractHistory(stored) };
+    return { kind: "read", history: extractHistory(stored) };
   }
 
   let effect: ambiguousWrite.SettlementEffect = { kind: "read" };
--- a/packages/anvilhinge/src/testing/rank_group_harness.ts
+++ b/packages/anvilhinge/src/testing/rank_group_harness.ts
@@ -44,7 +44,7 @@
    * Pauses an agent and makes its engine unreachable for other machines; the
    * engine keeps running. `resumeAgent` ends both.
    */
-  stopMachine(rank: number): void;
+  isolateMachine(rank: number): void;
   /** Shifts the demand to other experts. */
   shiftDemand(): void;
   /** Returns the number of orders sent to an engine on another machine. */
@@ -384,7 +384,7 @@
     pauseAgent(rank) {
       processes[rank]!.isPaused = true;
     },
-    stopMachine(rank) {
+    isolateMachine(rank) {
       processes[rank]!.isPaused = true;
       processes[rank]!.isCutOff = true;
     },
--- a/packages/coordination/bench/choice.ts
+++ b/packages/coordination/bench/choice.ts
@@ -60,7 +60,7 @@
     { length: workspaceCount },
     (_, index) => `pool-${index % poolCount}`,
   );
-  const tried = new Set<string>();
+  const attemptedIds = new Set<string>();
   /** Upstream of each attempt in flight, the oldest first. */
   const inFlight: string[] = [];
 
@@ -70,7 +70,7 @@
       manualClock.advance(choiceIntervalMs);
       const prefixKeys = usesPrefix ? [workspace * 7_919 + 1] : undefined;
       const outcome = chooser.choose(poolNames[workspace] as string, {
-        tried,
+        attemptedIds,
         prefixKeys,
       });
       if (outcome.kind !== "chosen") throw new Error(outcome.kind);
--- a/packages/coordination/bench/choice_balance.ts
+++ b/packages/coordination/bench/choice_balance.ts
@@ -303,11 +303,11 @@
   for (const [pool, members] of options.pools.entries()) {
     chooser.setPool(String(pool), members);
   }
-  const tried = new Set<string>();
+  const attemptedIds = new Set<string>();
   return {
     choose(pool, prefixKeys) {
       const outcome = chooser.choose(String(pool), {
-        tried,
+        attemptedIds,
         prefixKeys: settings.usesPrefix ? prefixKeys : [],
       });
       if (outcome.kind !== "chosen") throw new Error(outcome.kind);
--- a/packages/coordination/bench/fake_cluster.ts
+++ b/packages/coordination/bench/fake_cluster.ts
@@ -204,7 +204,7 @@
     const delayMs = storeDelayMs + random() * storeJitterMs;
     runOnNode(node, delayMs, () => {
       if (isStoreUnavailable) {
-        deliver(node, { kind: "store_away" });
+        deliver(node, { kind: "store_unavailable" });
         const { failures, stopsWhenReady } = options;
         if (stopsWhenReady && node.member?.isReady()) return;
         const retryMs = backoff.computeRetryDelayMs({
--- a/packages/coordination/bench/maps/policies.ts
+++ b/packages/coordination/bench/maps/policies.ts
@@ -87,7 +87,7 @@
       : undefined;
     const loadCount = nextMap === undefined
       ? 0
-      : layerLoad.countExpertLoads(map, nextMap);
+      : layerLoad.countExpertCopies(map, nextMap);
     if (nextMap !== undefined && loadCount > 0) {
       const atMs = nowMs + loadCount * expertBytes / bytesPerMs;
       pending = { map: nextMap, atMs };
--- a/packages/coordination/bench/retry_model.ts
+++ b/packages/coordination/bench/retry_model.ts
@@ -83,7 +83,7 @@
   const counts = { requests: 0, attempts: 0, completed: 0 };
 
   function startAttempt(tried: Set<string>, isCounted: boolean): void {
-    const outcome = chooser.choose("pool", { tried });
+    const outcome = chooser.choose("pool", { attemptedIds: tried });
     if (outcome.kind !== "chosen") return;
     const { id } = outcome.upstream;
     tried.add(id);
--- a/packages/coordination/src/ambiguous_write.ts
+++ b/packages/coordination/src/ambiguous_write.ts
@@ -43,7 +43,7 @@
   | { readonly kind: "unknown"; readonly message: string };
 
 export type SettlementEvent =
-  | { readonly kind: "read"; readonly present: ObjectHistory }
+  | { readonly kind: "read"; readonly history: ObjectHistory }
   | { readonly kind: "fenced"; readonly version: number }
   /** Another writer changed the object first. */
   | { readonly kind: "fence_conflict" }
@@ -130,7 +130,7 @@
     handle(event) {
       switch (event.kind) {
         case "read": {
-          const effect = decide(event.present, write);
+          const effect = decide(event.history, write);
           if (effect.kind !== "fence") return effect;
           fenceCount += 1;
           if (fenceCount <= maxFences) return effect;
--- a/packages/coordination/src/choice.ts
+++ b/packages/coordination/src/choice.ts
@@ -40,7 +40,7 @@
 
 export interface ChooseOptions {
   /** Ids of the upstreams that this request was already dispatched to. */
-  readonly tried: ReadonlySet<string>;
+  readonly attemptedIds: ReadonlySet<string>;
   /** Keys of the prompt's prefix, from `computePrefixKeys`. */
   readonly prefixKeys?: readonly number[];
   /**
@@ -346,7 +346,7 @@
         meanServiceMs: previous?.meanServiceMs ?? 0,
       });
     },
-    choose(poolName, { tried, prefixKeys, leftMs }) {
+    choose(poolName, { attemptedIds, prefixKeys, leftMs }) {
       const state = pools.get(poolName);
       if (state === undefined) return { kind: "unserved" };
       state.pool.resize(clock.now(), (member) => isAvailable(member.id));
@@ -354,7 +354,7 @@
         prefixKeys,
         leftMs,
         isUsable: (upstream: T) =>
-          !tried.has(upstream.id) && isAvailable(upstream.id),
+          !attemptedIds.has(upstream.id) && isAvailable(upstream.id),
       };
       const preferred = chooseByAffinity(poolName, state, criteria);
       return preferred === undefined
--- a/packages/coordination/src/dispatch/work_client.ts
+++ b/packages/coordination/src/dispatch/work_client.ts
@@ -53,7 +53,7 @@
   /** Records that a request occupies a slot. */
   recordStart(request: work.RunningRequest): void;
   /** Records a gap between two events of a stream. */
-  recordPause(pool: string, gapMs: number): void;
+  recordGap(pool: string, gapMs: number): void;
   /** Removes a waiting or running request. */
   drop(key: string): void;
   /** Builds the state for the hub; each call increments its sequence number. */
@@ -189,7 +189,7 @@
       pending.delete(request.key);
       running.set(request.key, request);
     },
-    recordPause(pool, gapMs) {
+    recordGap(pool, gapMs) {
       const gaps = gapsByPool.get(pool) ?? [];
       gaps.push(gapMs);
       gapsByPool.set(pool, gaps);
--- a/packages/coordination/src/gossip.ts
+++ b/packages/coordination/src/gossip.ts
@@ -11,7 +11,7 @@
 
 type StoreEvent = Extract<
   settingsPropagation.PropagationEvent,
-  { readonly kind: "store_listed" | "store_changed" | "store_away" }
+  { readonly kind: "store_listed" | "store_changed" | "store_unavailable" }
 >;
 
 /** Input of the member. */
@@ -36,7 +36,7 @@
   /** This member starts a planned shutdown. */
   | { readonly kind: "leave" }
   /** The weight of this member (its relative share of keys) has changed. */
-  | { readonly kind: "weighed"; readonly weight: number };
+  | { readonly kind: "weight_changed"; readonly weight: number };
 
 /** A request to send; passed back with its reply or its timeout. */
 export interface GossipSend {
@@ -342,11 +342,11 @@
         return handleTimeout(event.send, nowMs);
       case "leave":
         return publishLeaving();
-      case "weighed":
+      case "weight_changed":
         return recordChanges(members.setWeight(event.weight));
       case "store_listed":
       case "store_changed":
-      case "store_away":
+      case "store_unavailable":
         return convertEffects(propagation.handle(event));
     }
   }
--- a/packages/coordination/src/maps/layer_load.ts
+++ b/packages/coordination/src/maps/layer_load.ts
@@ -75,7 +75,7 @@
 }
 
 /** Counts the experts that ranks must load to switch between two maps. */
-export function countExpertLoads(
+export function countExpertCopies(
   from: expertMap.ExpertMap,
   to: expertMap.ExpertMap,
 ): number {
--- a/packages/coordination/src/maps/order_settler.ts
+++ b/packages/coordination/src/maps/order_settler.ts
@@ -12,7 +12,7 @@
   /** Epoch for which the order is valid. */
   readonly epoch: number;
   /** Number of sends after which the order is abandoned as unsettled. */
-  readonly maxSendAttempts: number;
+  readonly maxSends: number;
 }
 
 export type OrderSettlerEvent =
@@ -55,7 +55,7 @@
   }
 
   function send(): readonly OrderSettlerEffect[] {
-    if (sendCount >= options.maxSendAttempts) {
+    if (sendCount >= options.maxSends) {
       const reason = "no sending took effect";
       return finish({ kind: "unsettled", reason });
     }
--- a/packages/coordination/src/maps/planner.ts
+++ b/packages/coordination/src/maps/planner.ts
@@ -83,7 +83,7 @@
     planLayer(ranks, { input, options, shares: input.shares[layer]! })
   );
   const map = { layers };
-  const loads = layerLoad.countExpertLoads(input.map, map);
+  const loads = layerLoad.countExpertCopies(input.map, map);
   if (loads === 0) return { kind: "stay", skewBefore };
   const skewAfter = layerLoad.computeSkew(map, input);
   const minSaving = (options.minSaving ?? defaultMinSaving) *
--- a/packages/coordination/src/settings_propagation.ts
+++ b/packages/coordination/src/settings_propagation.ts
@@ -23,7 +23,7 @@
     readonly objects: readonly settingsReplica.ReplicatedObject[];
   }
   /** The store is unavailable. */
-  | { readonly kind: "store_away" }
+  | { readonly kind: "store_unavailable" }
   | { readonly kind: "request"; readonly request: gossipMessage.GossipRequest }
   | {
     readonly kind: "reply";
@@ -198,7 +198,7 @@
           return applyList(event.list);
         case "store_changed":
           return apply(replica.merge(event.objects));
-        case "store_away":
+        case "store_unavailable":
           isStoreUnavailable = true;
           return checkReady();
         case "request": {
--- a/packages/coordination/src/testing/group_simulation.ts
+++ b/packages/coordination/src/testing/group_simulation.ts
@@ -22,7 +22,7 @@
   /** The group starts again with a new epoch. */
   readonly newEpoch: number;
   /** A machine stalls: its leader does nothing and its rank does not answer. */
-  readonly standstill: number;
+  readonly machineStall: number;
 }
 
 /** Changes that make the protocol unsafe, to verify that tests detect them. */
@@ -62,7 +62,7 @@
    * Share of the simulation steps that execute a late order.
    * @default 0.04
    */
-  readonly lateTaskShare?: number;
+  readonly lateOrderShare?: number;
   readonly variant?: ProtocolVariant;
 }
 
@@ -105,7 +105,7 @@
 const leadPasses = 2;
 const stallSteps = 200;
 const defaultPassShare = 0.12;
-const defaultLateTaskShare = 0.04;
+const defaultLateOrderShare = 0.04;
 
 /** Runs the simulation until its last step or the first violation. */
 export function runGroupSimulation(
@@ -113,7 +113,7 @@
 ): GroupSimulationResult {
   const draw = random.createRandomSource(options.seed);
   const { faults, variant = {}, passShare = defaultPassShare } = options;
-  const lateTaskShare = options.lateTaskShare ?? defaultLateTaskShare;
+  const lateOrderShare = options.lateOrderShare ?? defaultLateOrderShare;
   const lateOrders: Task[] = [];
   let nowMs = 0;
   const leaders: Leader[] = Array.from(
@@ -243,7 +243,7 @@
     const settler = orderSettler.createOrderSettler({
       order,
       epoch: orderEpoch,
-      maxSendAttempts,
+      maxSends: maxSendAttempts,
     });
     function executeEffects(
       effects: readonly orderSettler.OrderSettlerEffect[],
@@ -422,14 +422,14 @@
     const period = Math.floor(count / (options.idlePeriodSteps ?? Infinity));
     if (roll < passShare) {
       if (period % 2 === 0) beginPass();
-    } else if (roll < passShare + lateTaskShare) {
+    } else if (roll < passShare + lateOrderShare) {
       const index = Math.floor(draw() * lateOrders.length);
       lateOrders.splice(index, 1)[0]?.();
     } else {
       runLeader(leaders[Math.floor(draw() * leaders.length)]!);
     }
     for (const rank of ranks) rank.stallLeft = Math.max(0, rank.stallLeft - 1);
-    if (sampleChance(faults.standstill)) startMachineStall();
+    if (sampleChance(faults.machineStall)) startMachineStall();
     if (sampleChance(faults.newEpoch)) {
       epoch += 1;
       startGroup();
--- a/scripts/capacity/work.ts
+++ b/scripts/capacity/work.ts
@@ -57,12 +57,14 @@
 async function measureChoice(count: number) {
   const bytes = measure.measureRetainedBytes(() => createChooser(count));
   const chooser = createChooser(count);
-  const tried = new Set<string>();
+  const attemptedIds = new Set<string>();
   const rounds = 50_000;
 
   function choose(choiceCount: number): void {
     for (let round = 0; round < choiceCount; round += 1) {
-      const outcome = chooser.choose(`model-${round % modelCount}`, { tried });
+      const outcome = chooser.choose(`model-${round % modelCount}`, {
+        attemptedIds,
+      });
       if (outcome.kind !== "chosen") throw new Error(outcome.kind);
       chooser.recordSent(outcome.upstream.id);
       chooser.recordEnded(outcome.upstream.id, { isCompleted: true });
