--- a/packages/anvilhinge/src/cli/apply.ts
+++ b/packages/anvilhinge/src/cli/apply.ts
@@ -18,6 +18,7 @@
   readonly showDiff: (text: string) => void;
 }
 
+/** Stored object; version 0 and an empty text stand for an absent object. */
 interface CurrentObject {
   readonly kind: "present";
   readonly version: number;
@@ -120,8 +121,8 @@
   if (current.kind !== "present") return current;
   const difference = diff.formatDiff(current.text, text);
   showDiff(difference === "" ? "No line differs" : difference);
-  // The entry may not have received `ifVersion` yet, but never reports a version
-  // that does not exist: only a higher version is a conflict.
+  // The entry's copy may be older than the stored object, but never newer: only
+  // a version above `ifVersion` proves a conflict.
   if (ifVersion !== undefined && current.version > ifVersion) {
     return {
       kind: "conflict",
--- a/packages/anvilhinge/src/cli/check.ts
+++ b/packages/anvilhinge/src/cli/check.ts
@@ -7,7 +7,7 @@
 import * as process from "../settings/process.ts";
 import * as outcome from "./outcome.ts";
 
-function describeReadError(file: string, error: unknown): document.Problem {
+function createReadProblem(file: string, error: unknown): document.Problem {
   const message = `Can't be read: ${(error as Error).message}`;
   return { file, line: 1, column: 1, path: "", message, hint: "" };
 }
@@ -42,7 +42,7 @@
       : checkSource(await objectFiles.readObjectSource(path));
     return checked.kind === "invalid" ? checked.problems : [];
   } catch (error) {
-    return [describeReadError(path, error)];
+    return [createReadProblem(path, error)];
   }
 }
 
--- a/packages/anvilhinge/src/cli/client.ts
+++ b/packages/anvilhinge/src/cli/client.ts
@@ -59,7 +59,7 @@
 
 const requestTimeoutMs = 15_000;
 
-/** Error codes which prove that no connection was established. */
+/** Error codes that prove that no connection was established. */
 const connectErrorCodes: ReadonlySet<unknown> = new Set([
   "ECONNREFUSED",
   "EHOSTUNREACH",
@@ -114,6 +114,7 @@
       currentVersion: body.current?.version,
     };
   }
+  // The entry answers 503 only when nothing took effect.
   if (status === 503) return { kind: "unreachable", message };
   if (status < 500) return { kind: "refused", message, status };
   return { kind: isWrite ? "unknown" : "unreachable", message };
--- a/packages/anvilhinge/src/cli/diff.ts
+++ b/packages/anvilhinge/src/cli/diff.ts
@@ -5,7 +5,10 @@
 
 type Table = readonly (readonly number[])[];
 
-/** Computes the length of the longest common subsequence of all suffix pairs. */
+/**
+ * Computes the length of the longest common subsequence for each pair of a
+ * suffix of `before` and a suffix of `after`.
+ */
 function computeCommonLengths(
   before: readonly string[],
   after: readonly string[],
--- a/packages/anvilhinge/src/cli/role_commands.ts
+++ b/packages/anvilhinge/src/cli/role_commands.ts
@@ -55,7 +55,7 @@
 ): void {
   const { roles, signal, output } = options;
   program.command("entry")
-    .description("Run an entry until it is asked to stop")
+    .description("Run an entry until it is stopped")
     .requiredOption("--settings <file>", "Settings of the entry")
     .action(({ settings: file }: { settings: string }) =>
       runAction(() =>
@@ -67,7 +67,7 @@
       )
     );
   program.command("agent")
-    .description("Run the agent of one upstream until it is asked to stop")
+    .description("Run the agent of one upstream until it is stopped")
     .requiredOption("--settings <file>", "Settings of the agent")
     .action(({ settings: file }: { settings: string }) =>
       runAction(() =>
--- a/packages/anvilhinge/src/main.ts
+++ b/packages/anvilhinge/src/main.ts
@@ -15,7 +15,7 @@
 }
 
 function createRoles(processShutdown: shutdown.Shutdown): program.Roles {
-  const { signal, setWorkDescription: registerWorkDescriber } = processShutdown;
+  const { signal, registerWorkDescriber } = processShutdown;
   return {
     runEntry: (settings) =>
       entry.runEntry(settings, { signal, registerWorkDescriber }),
@@ -25,7 +25,7 @@
   };
 }
 
-/** Exits silently when the reader of the output, such as `head`, closed it. */
+/** Exits silently when a reader of the output, such as `head`, closes the pipe. */
 function handleClosedOutput(error: NodeJS.ErrnoException): void {
   if (error.code !== "EPIPE") throw error;
   process.exit();
--- a/packages/anvilhinge/src/settings/document.ts
+++ b/packages/anvilhinge/src/settings/document.ts
@@ -17,7 +17,7 @@
   },
 ): readonly documentText.Problem[] {
   const path = issue.path as documentText.DocumentPath;
-  const keysOfSchema = knownKeys.listKnownKeys(schema, {
+  const schemaKeys = knownKeys.listKnownKeys(schema, {
     path,
     value: document.value,
   });
@@ -26,7 +26,7 @@
     ...document.locateKey(path, key),
     path: documentText.formatPath([...path, key]),
     message: `Unknown key "${key}"`,
-    hint: documentText.formatNameHint(key, keysOfSchema),
+    hint: documentText.formatNameHint(key, schemaKeys),
   }));
 }
 
--- a/packages/anvilhinge/src/settings/document_text.ts
+++ b/packages/anvilhinge/src/settings/document_text.ts
@@ -1,7 +1,7 @@
 /**
  * Parses settings documents (JSON with comments) and reports every problem with
- * its position in the file. Does not load the schema library, so that processes
- * that avoid its memory footprint can use this module.
+ * its position in the file. Imports only types of zod, so that processes that use
+ * `zod/mini` to save memory can use this module.
  */
 import * as jsonc from "jsonc-parser";
 import type * as zod from "zod/v4/core";
@@ -183,6 +183,7 @@
   issue: zod.$ZodIssue,
   value: unknown,
 ): { readonly message: string; readonly hint?: string } {
+  // For a missing key, zod reports that `undefined` is invalid.
   if (value === undefined && issue.code.startsWith("invalid_")) {
     return { message: `Key "${String(issue.path.at(-1))}" is missing` };
   }
--- a/packages/anvilhinge/src/settings/nearest_name.ts
+++ b/packages/anvilhinge/src/settings/nearest_name.ts
@@ -17,7 +17,10 @@
   return previous[right.length]!;
 }
 
-/** Returns the known name with the least edit distance, unless all are far. */
+/**
+ * Returns the known name with the least edit distance; undefined when each is
+ * further away than a third of the name's length and than 2.
+ */
 export function findNearestName(
   name: string,
   knownNames: readonly string[],
--- a/packages/anvilhinge/src/settings/object_files.ts
+++ b/packages/anvilhinge/src/settings/object_files.ts
@@ -6,6 +6,7 @@
 import * as subtree from "./subtree.ts";
 
 const fileExtension = ".jsonc";
+/** Parts of `<half>/<team>/<kind>/<name>`. */
 const pathPartCount = 4;
 
 /** Derives the settings path of an object from the path of its file. */
--- a/packages/anvilhinge/src/settings/objects.ts
+++ b/packages/anvilhinge/src/settings/objects.ts
@@ -7,6 +7,7 @@
 export type { PathOutcome, SettingsPath } from "./object_path.ts";
 export { formatSettingsPath, parseSettingsPath } from "./object_path.ts";
 
+/** Maximum number of ranks of a group. */
 const maxRanks = 128;
 const defaultTimeoutMs = 30_000;
 const leastUrgentPriority = 9;
@@ -141,7 +142,10 @@
   water_board: createWeightsSchema("water_board"),
 } as const;
 
-/** Schemas of settings objects by kind; for weights, that of the association. */
+/**
+ * Schemas of settings objects by kind. The schemas of weights differ between
+ * the halves only in a default; this is the association's.
+ */
 export const objectSchemas: Readonly<
   Record<objectPath.ObjectKind, zod.ZodType>
 > = {
--- a/packages/anvilhinge/src/settings/process.ts
+++ b/packages/anvilhinge/src/settings/process.ts
@@ -11,6 +11,7 @@
 const maxAddressAnswerTtlMs = 60_000;
 const defaultRequestBodyLimitBytes = 4 * 1024 * 1024;
 const maxRequestBodyLimitBytes = 64 * 1024 * 1024;
+/** Maximum number of ranks of a group. */
 const maxRanks = 128;
 
 const address = zod.strictObject({
--- a/packages/anvilhinge/src/settings/record.ts
+++ b/packages/anvilhinge/src/settings/record.ts
@@ -15,7 +15,7 @@
   at: zod.string(),
   /** Version of the object before this change; 0 = the object did not exist. */
   previousVersion: zod.int().min(0),
-  /** Digest of the text; tells a repeated change from a different change. */
+  /** Digest of the text; distinguishes a repeated from a different change. */
   textDigest: zod.string().optional(),
   /**
    * Id of a change whose outcome is unknown and which this change prevents from
@@ -28,8 +28,9 @@
   text: zod.string(),
   changes: zod.array(change).min(1).readonly(),
   /**
-   * True when only a fence was written: the settings object does not exist, but
-   * its key must, so that the lost write, which requires an absent key, fails.
+   * True when the record holds only a fence: the settings object does not exist,
+   * but its key must, because the fenced write requires an absent key and thus
+   * fails.
    */
   isAbsent: zod.boolean().optional(),
 }).readonly();
@@ -55,7 +56,10 @@
   return { text: next.text, changes: changes.slice(0, maxHistoryChanges) };
 }
 
-/** Builds the record that keeps the change `next.fences` from taking effect. */
+/**
+ * Builds a fence: writing the unchanged text as a new version keeps the change
+ * `next.fences` from taking effect.
+ */
 export function buildFenceRecord(
   previous: SettingsRecord | undefined,
   next: Change,
--- a/packages/anvilhinge/src/settings/reload.ts
+++ b/packages/anvilhinge/src/settings/reload.ts
@@ -15,7 +15,7 @@
   onReload(listener: () => void): void;
 }
 
-interface Reloadable {
+interface SettingsWithLog {
   readonly log: { readonly level: process.LogLevel };
 }
 
@@ -25,6 +25,7 @@
   readonly logger: logger.LeveledLogger;
   /** Keys besides `log` that `apply` changes without a restart. */
   readonly reloadableKeys: readonly (keyof Settings)[];
+  /** Applies the reloadable keys of new settings, which are valid. */
   readonly apply: (settings: Settings) => void;
 }
 
@@ -43,7 +44,7 @@
  * Applies the settings anew on each reload. If they are unreadable or invalid,
  * the current settings stay in force.
  */
-export function followSettings<Settings extends Reloadable>(
+export function followSettings<Settings extends SettingsWithLog>(
   { settings, reload, logger: log, ...options }: FollowSettingsOptions<
     Settings
   >,
--- a/packages/anvilhinge/src/settings/routed_process.ts
+++ b/packages/anvilhinge/src/settings/routed_process.ts
@@ -1,6 +1,8 @@
 /**
- * Settings of one process that serves routed services. The process reads them
- * from its settings file at startup, and again when it is notified of a change.
+ * Settings of one entry or agent of services that requests reach by routes. The
+ * process reads them from its settings file at startup, and again when it is
+ * notified of a change. Uses `zod/mini` and none of the schemas in `names.ts`,
+ * which load all of zod, to save memory.
  */
 import * as zod from "zod/mini";
 import * as documentText from "./document_text.ts";
--- a/packages/anvilhinge/src/settings/subtree.ts
+++ b/packages/anvilhinge/src/settings/subtree.ts
@@ -6,7 +6,7 @@
 import * as objectPath from "./object_path.ts";
 import * as objects from "./objects.ts";
 
-/** Valid objects of one subtree. */
+/** Valid objects, or the problems of all objects that were checked. */
 export type SubtreeOutcome = document.CheckOutcome<
   readonly objects.SettingsObject[]
 >;
@@ -89,8 +89,8 @@
   object: objects.SettingsObject,
   others: readonly objects.SettingsObject[],
 ): readonly document.Problem[] {
-  // A duplicate agent is reported at its later use, so the checked object comes
-  // last for its own duplicates to be reported in it.
+  // `checkAgents` reports an agent at its second use. The checked object comes
+  // last, so that its duplicates are reported in it and not in the others.
   return checkAgents([...others, object]).filter(({ file }) =>
     file === object.file
   );
--- a/packages/anvilhinge/src/shutdown.ts
+++ b/packages/anvilhinge/src/shutdown.ts
@@ -1,6 +1,6 @@
 /**
  * Shutdown on signals: the first signal starts a graceful shutdown, the second
- * ends the process at once and reports the work that is cut off.
+ * ends the process at once and reports the work that it interrupts.
  */
 
 export interface ShutdownOptions {
@@ -12,8 +12,8 @@
   /** Aborted at the first signal. */
   readonly signal: AbortSignal;
   handleSignal(): void;
-  /** Sets the function that describes the work in progress. */
-  setWorkDescription(describeWork: () => string): void;
+  /** Registers the function that describes the work in progress. */
+  registerWorkDescriber(describeWork: () => string): void;
 }
 
 /** Exit code of a process that ended before its work was complete. */
@@ -30,7 +30,7 @@
       options.writeError(`Ends at once and cuts ${describeWork()}\n`);
       options.exit(forcedExitCode);
     },
-    setWorkDescription(describe) {
+    registerWorkDescriber(describe) {
       describeWork = describe;
     },
   };
