--- a/packages/anvilhinge/src/main.ts
+++ b/packages/anvilhinge/src/main.ts
@@ -25,7 +25,7 @@
   };
 }
 
-/** Exits silently when a reader of the output, such as `head`, closes the pipe. */
+/** Exits silently when a reader, such as `head`, has closed the output. */
 function handleClosedOutput(error: NodeJS.ErrnoException): void {
   if (error.code !== "EPIPE") throw error;
   process.exit();
