--- a/packages/anvilhinge/src/settings/document_text.ts
+++ b/packages/anvilhinge/src/settings/document_text.ts
@@ -1,7 +1,7 @@
 /**
  * Parses settings documents (JSON with comments) and reports every problem with
- * its position in the file. Imports only types of zod, so that processes that use
- * `zod/mini` to save memory can use this module.
+ * its position in the file. Imports only types of zod, so that processes that
+ * use `zod/mini` to save memory can use this module.
  */
 import * as jsonc from "jsonc-parser";
 import type * as zod from "zod/v4/core";
--- a/packages/anvilhinge/src/settings/record.ts
+++ b/packages/anvilhinge/src/settings/record.ts
@@ -28,9 +28,9 @@
   text: zod.string(),
   changes: zod.array(change).min(1).readonly(),
   /**
-   * True when the record holds only a fence: the settings object does not exist,
-   * but its key must, because the fenced write requires an absent key and thus
-   * fails.
+   * True when the record holds only a fence: the settings object does not
+   * exist, but its key must, so that the fenced write, which requires an absent
+   * key, fails.
    */
   isAbsent: zod.boolean().optional(),
 }).readonly();
