--- a/packages/anvilhinge/src/agent/orders.ts
+++ b/packages/anvilhinge/src/agent/orders.ts
@@ -2,7 +2,9 @@
  * Passes orders to the engine beside the agent through the fencing gate, whose
  * effects are executed here. The gate's floor, the lowest term that it accepts,
  * is read from the object store: the epoch from the group's assignment, the
- * fencing number from the lease that covers the duty to control the group.
+ * fencing number from the lease that covers the duty to control the group. The
+ * orders of switch rounds (`ranks/`) don't pass through this gate; their epoch
+ * is that of the group's engines.
  */
 import * as fencing from "@anvilhinge/coordination/fencing";
 import * as leaseRecord from "@anvilhinge/coordination/lease_record";
--- a/packages/anvilhinge/src/agent/ranks/map_rebalancer.ts
+++ b/packages/anvilhinge/src/agent/ranks/map_rebalancer.ts
@@ -25,7 +25,10 @@
   readonly logger: logger.Logger;
   readonly callRank: rankCallRouter.CallRank;
   readonly createVersion: mapVersions.CreateMapVersion;
-  /** Whether the epoch began after the start of this process. */
+  /**
+   * Whether no earlier process of this rank can have led in the epoch and held
+   * passes in it.
+   */
   readonly isEpochNew: (epoch: number) => boolean;
   /** Maximum number of experts that one rank copies for one switch. */
   readonly maxCopiesPerRank: number;
@@ -243,7 +246,7 @@
     });
   }
 
-  /** Searches a stalled group for a hold and ends it. */
+  /** Searches a group that may be stalled by a hold, and ends the hold. */
   async function endHold(status: rankPeers.RankStatus): Promise<void> {
     pausedUntilMs = scheduler.now() + retryDelayMs;
     const firstRead = {
@@ -286,7 +289,7 @@
       heldStep,
       currentLayers: map.layers,
     }, silentRank);
-    logger.info("Finished ending an abandoned hold", {
+    logger.info("Round to end an abandoned hold finished", {
       ...details,
       phaseMs,
       outcome,
@@ -354,6 +357,7 @@
         map: { layers: map.layers },
         shares,
         slotsPerRank: experts.slotsPerRank,
+        // Each set of the settings is one layer of the map.
         maxNewPerLayer: experts.maxNewPerRank,
         maxNewPerRank: copies,
       });
@@ -416,6 +420,9 @@
         scheduler.now() >= pausedUntilMs;
       const isStalled = status.stalledMs >=
         Math.max(stallThresholdMs, stallThresholdPasses * passMs);
+      // A hold at this agent's own rank was placed by another leader, because a
+      // leader holds passes at the next rank. A hold at any other rank shows
+      // only as a stall.
       if (isStalled || status.heldStep !== undefined) {
         if (scheduler.now() >= pausedUntilMs) await endHold(status);
         return;
--- a/packages/anvilhinge/src/agent/ranks/rank_agent.ts
+++ b/packages/anvilhinge/src/agent/ranks/rank_agent.ts
@@ -60,7 +60,7 @@
   handleMessage(message: RankMessage, from: string): void;
 }
 
-/** Interval between reads of the local engine; one tick. */
+/** Interval between reads of the local engine; one tick of the status loop. */
 const statusIntervalMs = 100;
 /** Ticks between status messages of a rank that may lead next. */
 const candidateStatusTicks = 1;
@@ -125,6 +125,7 @@
     }
   }
 
+  /** Whether no earlier process of this rank can have led in the epoch. */
   function isEpochNew(epoch: number): boolean {
     return options.isFirstStart || epoch !== firstOpenEpoch;
   }
@@ -170,7 +171,11 @@
     if (!isElected) rebalancer?.reset();
   }
 
-  /** Runs leader iterations while this agent leads, beside the status loop. */
+  /**
+   * Runs leader iterations while this agent leads, beside the status loop. An
+   * iteration that has started, and its switch round, continue after another
+   * agent has become the leader; switch rounds tolerate two leaders.
+   */
   async function runLeaderLoop(): Promise<void> {
     while (!signal.aborted) {
       const status = peers.getOwn();
--- a/packages/anvilhinge/src/agent/ranks/rank_call_router.ts
+++ b/packages/anvilhinge/src/agent/ranks/rank_call_router.ts
@@ -16,11 +16,18 @@
   | "engine";
 
 export interface CallOptions {
+  /**
+   * Timeout of a call through an agent, in milliseconds. A call by the route
+   * `engine` or to the leader's own rank ends by the engine's timeouts instead.
+   */
   readonly timeoutMs: number;
   readonly route: CallRoute;
 }
 
-/** Calls a rank; resolves to undefined when the call times out. */
+/**
+ * Calls a rank; resolves to undefined when the call times out or the agent of
+ * the rank has not been seen (for the route `agent`: not recently).
+ */
 export type CallRank = (
   rank: number,
   call: rankRpc.RankCall,
--- a/packages/anvilhinge/src/agent/ranks/rank_peers.ts
+++ b/packages/anvilhinge/src/agent/ranks/rank_peers.ts
@@ -40,12 +40,13 @@
   listLive(): readonly RankPeer[];
   /** Whether the peer's last status is within the timeout for its rank. */
   isLive(peer: RankPeer): boolean;
-  /** Whether the peer's last status is within `peerTimeoutMs`. */
+  /** Whether the peer is of this group and was seen within `peerTimeoutMs`. */
   isRecent(peer: RankPeer): boolean;
   /** Returns the agent last seen at a rank in this epoch, live or not. */
   findLastSeen(rank: number): RankPeer | undefined;
   /** Whether this rank may lead next and therefore sends its status often. */
   isCandidate(): boolean;
+  /** Whether this agent is the leader in its own view of the group. */
   isLeading(): boolean;
 }
 
--- a/packages/anvilhinge/src/agent/ranks/rank_rpc.ts
+++ b/packages/anvilhinge/src/agent/ranks/rank_rpc.ts
@@ -65,12 +65,12 @@
 
 /** Interval between retransmissions of an unanswered call. */
 const resendIntervalMs = 40;
-/** Maximum time that an agent spends on one order. */
+/** Maximum time for one order at an engine, over all sends. */
 const orderTimeoutMs = 2_500;
 /** Answers kept to recognize retransmitted calls. */
 const maxKeptAnswers = 256;
 
-/** Executes a call at an engine. */
+/** Executes a call at the local engine, or at a remote one for the leader. */
 export async function executeCall(
   call: RankCall,
   { engine, scheduler }: Pick<RankRpcOptions, "engine" | "scheduler">,
--- a/packages/anvilhinge/src/agent/routed_agent.ts
+++ b/packages/anvilhinge/src/agent/routed_agent.ts
@@ -97,6 +97,7 @@
       .filter(({ service }) => service === settings.service)
       .map(({ address }) => hostPort.parseAddress(address).host)
       .filter((host) => host !== ownAddress.host);
+    // All agents of a service listen on the same port.
     addresses = [...new Set(hosts)].map((host) => `${host}:${ownAddress.port}`);
     return spec !== undefined && addresses.length > 0;
   }
@@ -147,5 +148,6 @@
   }));
   await abortSignal.waitForAbort(stopSignal);
   log.info("Stopped");
+  // A hold that this agent leaves behind is ended by the next leader.
   abort.abort();
 }
--- a/packages/anvilhinge/src/entry/control/duties.ts
+++ b/packages/anvilhinge/src/entry/control/duties.ts
@@ -1,8 +1,9 @@
 /**
  * The control duties of one entry. The duties of a half are divided into
  * bundles with one lease each. An entry holds the duties of the bundles whose
- * lease it holds. Orders and writes of a duty carry the fencing number of its
- * lease.
+ * lease it holds. Orders of a duty carry the fencing number of its lease; writes
+ * of assignment records are conditional on the record's version instead (see
+ * `handover.ts`).
  */
 import * as bundle from "@anvilhinge/coordination/bundle";
 import * as lease from "@anvilhinge/coordination/lease";
--- a/packages/anvilhinge/src/entry/control/handover_duty.ts
+++ b/packages/anvilhinge/src/entry/control/handover_duty.ts
@@ -1,9 +1,9 @@
 /**
- * The handover duty of one entry: for each group of its half whose duty it
- * holds, completes moves after all ranks have reported that they are drained,
- * and creates the first record of a group that the settings define. Each step
- * is derived periodically from the current state, so that a lost event delays a
- * step but does not skip it.
+ * The handover duty of one entry. For each group of its half of which the entry
+ * is in charge (it holds the lease of the group's duty), it completes moves after
+ * all ranks have reported that they are drained, and creates the first record of
+ * a group that the settings define. Each step is derived periodically from the
+ * current state, so that a lost event delays a step but does not skip it.
  */
 import * as handover from "@anvilhinge/coordination/handover";
 import * as assignmentCodec from "../../adapters/assignment_codec.ts";
@@ -155,6 +155,8 @@
       assignment.half === entry.settings.half &&
       options.duties.isHolder(assignment.group)
     );
+    // A move ends when this entry sees a later record, whoever wrote it, or is
+    // no longer in charge; `findMove` loads a later move of the group anew.
     for (const [group, move] of moves) {
       const current = entry.upstreams.findAssignment(group);
       const isOver = current !== undefined && current.epoch > move.epoch;
--- a/packages/anvilhinge/src/entry/operators/moves.ts
+++ b/packages/anvilhinge/src/entry/operators/moves.ts
@@ -1,6 +1,8 @@
 /**
  * Moves groups between halves on request of operators: checks the authorization,
- * writes the assignment record and reports the outcome.
+ * writes the assignment record that starts or cancels a move, and reports the
+ * outcome. The entry in charge of the group completes the move; see
+ * `handover_duty.ts`.
  */
 import type * as conditionalWrite from "@anvilhinge/coordination/conditional_write";
 import * as handover from "@anvilhinge/coordination/handover";
--- a/packages/anvilhinge/src/ports/rank_engine.ts
+++ b/packages/anvilhinge/src/ports/rank_engine.ts
@@ -1,4 +1,4 @@
-/** Interface between an agent and its local engine, one rank of a group. */
+/** Interface between an agent and an engine, which runs one rank of a group. */
 import type * as rankOrders from "@anvilhinge/coordination/maps/rank_orders";
 
 /** Status that an engine reports. */
@@ -47,7 +47,7 @@
   readonly address: string;
   /** Timeout of a read, in milliseconds. */
   readonly readTimeoutMs: number;
-  /** Timeout of an order, in milliseconds. */
+  /** Timeout of one send of an order, in milliseconds. */
   readonly orderTimeoutMs: number;
   readonly signal: AbortSignal;
 }
--- a/packages/coordination/src/handover.ts
+++ b/packages/coordination/src/handover.ts
@@ -187,7 +187,8 @@
         observe({ record: next, version: outcome.version });
         return [];
       case "conflict":
-        // Another writer was first; its record will be observed later.
+        // Another writer was first. The machine writes no more until its embedder
+        // feeds it the other record or replaces the machine.
         return [];
       case "unavailable":
       case "unknown":
--- a/packages/coordination/src/maps/counts_window.ts
+++ b/packages/coordination/src/maps/counts_window.ts
@@ -41,7 +41,7 @@
   observe(sample: CountsSample): void;
   /** Returns the estimate; undefined until there are enough counts. */
   estimate(): PopularityEstimate | undefined;
-  /** Discards all samples, for a rank that has restarted. */
+  /** Discards all samples, for example after a new epoch of the group. */
   reset(): void;
 }
 
--- a/packages/coordination/src/maps/map_versions.ts
+++ b/packages/coordination/src/maps/map_versions.ts
@@ -1,7 +1,7 @@
 /**
  * Map versions that are unique across leaders and restarts: the last three
  * decimal digits are the leader's rank, the digits before are the wall-clock
- * time.
+ * time in milliseconds, or one above those of the highest known version.
  */
 
 export interface MapVersionGeneratorOptions {
--- a/packages/coordination/src/maps/rank_orders.ts
+++ b/packages/coordination/src/maps/rank_orders.ts
@@ -27,7 +27,7 @@
   readonly preparedVersion: number | undefined;
   /** Switch that the rank will make without a further order, if any. */
   readonly armed: ArmedSwitch | undefined;
-  /** Pass that the group does not begin before `go`, if any. */
+  /** Pass held here, if any: the group does not begin it before `go`. */
   readonly heldStep: number | undefined;
 }
 
@@ -53,7 +53,10 @@
 export type OrderReply =
   /** The rank has begun to carry out the order, or already satisfied it. */
   | "accepted"
-  /** The order did not fit the rank's state; this copy never takes effect. */
+  /**
+   * The order did not fit the rank's state or could not be sent; this copy never
+   * takes effect.
+   */
   | "refused"
   /** No reply: the order may have taken effect or may still do so. */
   | "unknown";
--- a/packages/coordination/src/maps/switch_round.ts
+++ b/packages/coordination/src/maps/switch_round.ts
@@ -62,7 +62,10 @@
     readonly version: number;
     readonly step: number;
   }
-  /** No rank switched; a hold may remain. */
+  /**
+   * The round completed no switch. Another leader may have completed it, and a
+   * hold may remain.
+   */
   | { readonly kind: "aborted"; readonly reason: string };
 
 export type RoundEvent =
@@ -92,7 +95,7 @@
     readonly rank: number;
     readonly outcome: rankOrders.OrderOutcome;
   }
-  /** A call timed out. */
+  /** A call timed out, or the engine of the rank did not answer. */
   | { readonly kind: "late"; readonly call: number; readonly rank: number };
 
 export type RoundEffect =
@@ -110,7 +113,10 @@
 export interface SwitchRound {
   handle(event: RoundEvent): readonly RoundEffect[];
   isFinished(): boolean;
-  /** Highest pass that this round has tried to hold. */
+  /**
+   * Highest pass that this leader may have held, including this round; 0 while
+   * the round ends the hold of another leader.
+   */
   getHeldStep(): number;
   getPhase(): RoundPhase;
 }
@@ -360,7 +366,8 @@
   /**
    * Prepares a higher version at the ranks that are not armed. A rank that is
    * armed for another pass or by another leader is skipped: it has lost V, and
-   * another hold covers it.
+   * another hold covers it. The last known state of a rank that was just
+   * disarmed may still show it as armed.
    */
   function replaceMap(): Effects {
     const targets = [...states.values()]
--- a/packages/coordination/src/maps/switch_round_test.ts
+++ b/packages/coordination/src/maps/switch_round_test.ts
@@ -99,8 +99,8 @@
     runs: 4,
     steps: 80_000,
     passShare: 0.005,
-    // A switch of 72 ranks takes more steps than lie between two standstills at
-    // the rate of `frequentFaults`.
+    // A switch of 72 ranks takes more steps than lie between two machine stalls
+    // at the rate of `frequentFaults`.
     faults: { ...frequentFaults, machineStall: 0.000_1 },
   },
 ])(
--- a/packages/coordination/src/testing/group_simulation.ts
+++ b/packages/coordination/src/testing/group_simulation.ts
@@ -96,11 +96,11 @@
   round: switchRound.SwitchRound | undefined;
   lastHeldStep: number;
   /** Remaining simulation steps for which the leader does nothing. */
-  frozenFor: number;
+  freezeLeft: number;
 }
 
 const initialLayers: rankOrders.MapLayers = [[[0]]];
-const maxSendAttempts = 4;
+const maxSends = 4;
 /** Number of passes between the current pass and the pass of a switch. */
 const leadPasses = 2;
 const stallSteps = 200;
@@ -124,7 +124,7 @@
       tasks: [],
       round: undefined,
       lastHeldStep: 0,
-      frozenFor: 0,
+      freezeLeft: 0,
     }),
   );
   let epoch = 1;
@@ -174,7 +174,7 @@
     };
   }
 
-  /** Executes an order as real engines were observed to. */
+  /** Executes an order in the way observed of real engines. */
   function applyOrder(
     index: number,
     order: rankOrders.RankOrder,
@@ -243,7 +243,7 @@
     const settler = orderSettler.createOrderSettler({
       order,
       epoch: orderEpoch,
-      maxSends: maxSendAttempts,
+      maxSends: maxSends,
     });
     function executeEffects(
       effects: readonly orderSettler.OrderSettlerEffect[],
@@ -390,11 +390,11 @@
 
   function runLeader(leader: Leader): void {
     if (ranks[leader.rank]!.stallLeft > 0) return;
-    if (leader.frozenFor > 0) {
-      leader.frozenFor -= 1;
+    if (leader.freezeLeft > 0) {
+      leader.freezeLeft -= 1;
       return;
     }
-    if (sampleChance(faults.leaderFreeze)) leader.frozenFor = 60;
+    if (sampleChance(faults.leaderFreeze)) leader.freezeLeft = 60;
     if (sampleChance(faults.leaderRestart)) {
       leader.tasks = [];
       leader.round = undefined;
