--- a/packages/anvilhinge/src/agent/mod.ts
+++ b/packages/anvilhinge/src/agent/mod.ts
@@ -1,4 +1,4 @@
-/** The agent role: composes its components and runs their lifecycle. */
+/** The agent role: composes its components and runs their life cycle. */
 import * as nodeCrypto from "node:crypto";
 import * as random from "@anvilhinge/coordination/random";
 import * as awilix from "awilix";
@@ -190,7 +190,7 @@
     ...settings.address,
     signal,
     onFailure: (call, message) =>
-      logger.warnOnce(call, `Call ${call} failed: ${message}`),
+      logger.warnOnce(call, `Incoming call ${call} failed: ${message}`),
   }).catch((error) => {
     // The timer that reads the engine's load would keep the process alive.
     abort.abort();
@@ -239,7 +239,9 @@
     address,
     async stop() {
       attempts.stop();
-      logger.info(`Stopping; ${attempts.countRunning()} attempts in flight`);
+      logger.info(
+        `Stopping: refusing new attempts; finishing ${attempts.countRunning()} running attempts`,
+      );
       while (attempts.countRunning() > 0) {
         await delay.waitFor(scheduler, { delayMs: drainPollIntervalMs });
       }
--- a/packages/anvilhinge/src/agent/routed_agent.ts
+++ b/packages/anvilhinge/src/agent/routed_agent.ts
@@ -26,7 +26,7 @@
   readonly settings: routedProcess.RoutedAgentSettings;
   readonly platform: AgentPlatform;
   readonly reload: reload.SettingsReloader<routedProcess.RoutedAgentSettings>;
-  /** Requests a graceful stop. */
+  /** Stops the agent when it aborts. */
   readonly signal: AbortSignal;
 }
 
@@ -62,6 +62,7 @@
   const ownAddress = hostPort.parseAddress(settings.peers);
   let addresses: readonly string[] = [];
   let spec: rankAgent.GroupSpec | undefined;
+  // Set once the rank agent exists; earlier messages are dropped.
   let handleMessage: rankAgent.RankAgent["handleMessage"] = () => {};
   const sockets = await datagrams.openDatagrams({
     address: settings.peers,
@@ -146,6 +147,7 @@
     signal,
   }));
   await abortSignal.waitForAbort(stopSignal);
+  // There are no requests to finish: entries call the upstream directly.
   log.info("Stopped");
   abort.abort();
 }
--- a/packages/anvilhinge/src/entry/callers/routed_http.ts
+++ b/packages/anvilhinge/src/entry/callers/routed_http.ts
@@ -18,7 +18,7 @@
 
 /** Whether the entry accepts requests, and how many are in progress. */
 export interface RoutedState {
-  /** True once a planned stop began; address answers omit the entry. */
+  /** True once a graceful stop began; address answers omit the entry. */
   isLeaving: boolean;
   /** True once the entry refuses new requests. */
   isClosed: boolean;
--- a/packages/anvilhinge/src/entry/choice/addresses.ts
+++ b/packages/anvilhinge/src/entry/choice/addresses.ts
@@ -49,7 +49,7 @@
 /** Spreads the time to live over 75% to 100%, so that refreshes are spread. */
 const jitterShare = 0.25;
 
-/** Returns the live entries, or the suspected entries if none is live. */
+/** Returns the ready entries that are live, or else those that are suspected. */
 function filterUsable(
   members: readonly EntryMember[],
 ): readonly EntryMember[] {
@@ -81,7 +81,7 @@
   return [...spread, ...others].slice(0, options.count);
 }
 
-/** Builds the answer for one workspace; it excludes leaving entries. */
+/** Builds the answer for one workspace, without leaving and unready entries. */
 export function buildAddressAnswer(
   members: readonly EntryMember[],
   options: AnswerOptions,
--- a/packages/anvilhinge/src/entry/context.ts
+++ b/packages/anvilhinge/src/entry/context.ts
@@ -22,7 +22,7 @@
 export interface EntryState {
   /** False until the replica of settings and assignments is confirmed. */
   isReady: boolean;
-  /** True once a planned stop or a drain began; address answers omit the entry. */
+  /** True once a graceful stop or a drain began; address answers omit the entry. */
   isLeaving: boolean;
   /** True once the entry refuses new requests. */
   isClosed: boolean;
--- a/packages/anvilhinge/src/entry/control/gossip_node.ts
+++ b/packages/anvilhinge/src/entry/control/gossip_node.ts
@@ -94,7 +94,7 @@
       onUnavailable(message) {
         options.logger.warnOnce(
           "store",
-          `The object store is unavailable: ${message}`,
+          `Lost contact with the object store: ${message}`,
         );
         deliver({ kind: "store_unavailable" });
       },
@@ -208,6 +208,8 @@
     scheduler.schedule(tick, { delayMs: gossip.tickMs, signal });
   }
 
+  // The first tick decides whether this entry watches the store, which depends
+  // on the other members.
   void pollInstances().then(tick);
   return {
     handleRequest(request) {
--- a/packages/anvilhinge/src/entry/control/roster_node.ts
+++ b/packages/anvilhinge/src/entry/control/roster_node.ts
@@ -74,7 +74,7 @@
     for (const { to, message } of messages) options.sockets.send(message, to);
   }
 
-  /** Logs changes of the hub and of the entries that accept requests. */
+  /** Logs changes of the hub and of the entries that address answers list. */
   function writeMembershipLog(): void {
     const hub = machine.getHub().id;
     if (hub !== loggedHubId) {
@@ -87,7 +87,7 @@
     const joinedIds = [...ids].sort().join(" ");
     if (joinedIds === loggedIds) return;
     loggedIds = joinedIds;
-    logger.info("Entries that accept requests changed", {
+    logger.info("Entries in address answers changed", {
       count: ids.length,
       ids,
     });
--- a/packages/anvilhinge/src/entry/mod.ts
+++ b/packages/anvilhinge/src/entry/mod.ts
@@ -247,7 +247,7 @@
       address: options.address,
       controlAddress: options.controlAddress,
       failureDomain: settings.failureDomain,
-      // 0 = not ready; raised once the replica of settings is confirmed.
+      // 0 = not ready; `publishWeight` raises it once the replica is confirmed.
       weight: 0,
     },
     half: settings.half,
@@ -261,7 +261,8 @@
 
 /**
  * Publishes the share of workspaces that this entry should get, computed from
- * the utilization of its event loop.
+ * the utilization of its event loop. The first weight marks the entry as ready:
+ * address answers of all entries may list it from then on.
  */
 function publishWeight(
   node: gossipNode.GossipNode,
@@ -346,6 +347,7 @@
       node?.publishLeaving();
       logger.info("Stopping: address answers now omit this entry");
       await components.duties.stop();
+      // Callers use cached address answers that list this entry until they expire.
       await delay.waitFor(scheduler, { delayMs: settings.addressAnswerTtlMs });
       state.isClosed = true;
       logger.info(
--- a/packages/anvilhinge/src/entry/operators/drains_http.ts
+++ b/packages/anvilhinge/src/entry/operators/drains_http.ts
@@ -21,7 +21,10 @@
   readonly publishLeaving: () => void;
 }
 
-/** Creates the route `POST /drains`, which drains the entry that it reaches. */
+/**
+ * Creates the route `POST /drains`, which drains the entry that it reaches: address
+ * answers omit the entry, but it accepts requests until it is stopped.
+ */
 export function createDrainsRouter(options: DrainsOptions): Router {
   const router = new Router();
   const { settings, state, logger, listMembers } = options.entry;
--- a/packages/anvilhinge/src/entry/operators/settings_change.ts
+++ b/packages/anvilhinge/src/entry/operators/settings_change.ts
@@ -3,7 +3,8 @@
  * of its subtree, writes it on condition of the given version, and determines
  * the outcome of a write whose answer was lost. If such a write can still take
  * effect, a fence prevents it: a write that keeps the text and raises the
- * version.
+ * version. All entries, including this one, receive an accepted change from the
+ * object store or by gossip.
  */
 import * as crypto from "node:crypto";
 import * as ambiguousWrite from "@anvilhinge/coordination/ambiguous_write";
--- a/packages/anvilhinge/src/entry/routed_entry.ts
+++ b/packages/anvilhinge/src/entry/routed_entry.ts
@@ -67,11 +67,11 @@
  * confirmed.
  */
 const maxKeyAgeShare = 0.88;
-/** Shortest time for which callers cache an address answer. */
+/** TTL of an address answer, the shortest time for which callers cache it. */
 const addressTtlMs = 1_500;
 /** Some callers cache an address answer for three times as long. */
 const addressCacheFactor = 3;
-/** Part of the time limit of a stop, reserved for an orderly shutdown. */
+/** Time before the forced end of the process, reserved for closing servers. */
 const stopReserveMs = 400;
 const drainPollIntervalMs = 20;
 const maxHeaderBytes = 64 * 1024;
@@ -269,6 +269,9 @@
     state.isLeaving = true;
     roster.setState({ isReady, isLeaving: true });
     log.info("Stopping: address answers now omit this entry");
+    // Callers use cached address answers that list this entry until they expire.
+    // At most half of the time limit is spent on that, as open requests need the
+    // other half.
     const addressCacheMs = Math.min(
       addressCacheFactor * addressTtlMs,
       settings.bounds.stopMs / 2,
@@ -277,10 +280,13 @@
     state.isClosed = true;
     callerServer.close();
     callerServer.closeIdleConnections();
-    log.info("Refusing new requests", { open: state.openRequests });
+    log.info("Refusing new requests; finishing the open requests", {
+      open: state.openRequests,
+    });
     while (state.openRequests > 0 && clock.now() < stopDeadlineMs) {
       await delay.waitFor(clock, { delayMs: drainPollIntervalMs });
     }
+    // Requests that are still open are cut off by closing their connections.
     log.info("Stopped", { open: state.openRequests });
     abort.abort();
     for (
@@ -311,6 +317,7 @@
     reload: options.reload,
     logger: log,
     reloadableKeys: ["seeds"],
+    // Seeds that the new settings lack stay in use until a restart.
     apply: (changed) => roster.addSeeds(listPeers(changed)),
   });
   await Promise.all([
--- a/packages/anvilhinge/src/entry/routing/followed_prefix.ts
+++ b/packages/anvilhinge/src/entry/routing/followed_prefix.ts
@@ -149,6 +149,7 @@
     const wasRequesting = isRequestingConfirmations;
     isRequestingConfirmations = isRequestNeeded;
     if (isWatchBehind) follow();
+    // A pending watch call would wait longer than the new confirmation interval.
     else if (isRequestNeeded && !wasRequesting) follow(coveredVersion);
     scheduler.schedule(check, { delayMs: checkIntervalMs, signal });
   }
--- a/packages/anvilhinge/src/main.ts
+++ b/packages/anvilhinge/src/main.ts
@@ -7,7 +7,7 @@
 import * as entry from "./entry/mod.ts";
 import * as shutdown from "./shutdown.ts";
 
-/** Starts the shutdown on SIGTERM and SIGINT. */
+/** Passes each SIGTERM and SIGINT to the shutdown. */
 function watchSignals(processShutdown: shutdown.Shutdown): void {
   for (const name of ["SIGTERM", "SIGINT"] as const) {
     process.on(name, processShutdown.handleSignal);
--- a/packages/anvilhinge/src/ports/shutdown.ts
+++ b/packages/anvilhinge/src/ports/shutdown.ts
@@ -1,4 +1,4 @@
-/** Graceful stop of a process, and the description of its pending work. */
+/** Graceful stop of a process, and the description of its work in progress. */
 
 export interface RunRoleOptions {
   /** Requests a graceful stop. */
--- a/packages/anvilhinge/src/shutdown.ts
+++ b/packages/anvilhinge/src/shutdown.ts
@@ -1,5 +1,5 @@
 /**
- * Shutdown on signals: the first signal starts a graceful shutdown, the second
+ * Shutdown on signals: the first signal starts a graceful stop, the second
  * ends the process at once and reports the work that is cut off.
  */
 
--- a/packages/coordination/src/gossip.ts
+++ b/packages/coordination/src/gossip.ts
@@ -33,7 +33,7 @@
   }
   /** A request timed out after `replyTimeoutMs`, or could not be sent. */
   | { readonly kind: "silent"; readonly send: GossipSend }
-  /** This member starts a planned shutdown. */
+  /** This member is about to stop. */
   | { readonly kind: "leave" }
   /** The weight of this member (its relative share of keys) has changed. */
   | { readonly kind: "weight_changed"; readonly weight: number };
@@ -65,7 +65,7 @@
     settingsPropagation.PropagationEffect,
     { readonly kind: "list_store" }
   >
-  /** Start or stop watching the object store. */
+  /** List and watch the object store, or stop doing so. */
   | { readonly kind: "set_watching"; readonly isWatching: boolean }
   /** These member records are new or have changed. */
   | {
--- a/packages/coordination/src/membership.ts
+++ b/packages/coordination/src/membership.ts
@@ -15,7 +15,7 @@
   /** Address that other members use, as `host:port`. */
   readonly controlAddress: string;
   readonly failureDomain: string;
-  /** Share of keys relative to the other members. */
+  /** Share of keys relative to the other members; 0 = not ready. */
   readonly weight: number;
 }
 
@@ -75,6 +75,7 @@
   expire(nowMs: number): readonly MemberRecord[];
   /** Extends all deadlines, because this node itself was paused. */
   extendDeadlines(durationMs: number): void;
+  /** Marks this node as leaving; returns its new record. */
   leave(): readonly MemberRecord[];
   setWeight(weight: number): readonly MemberRecord[];
   /** Returns the next member to probe: each once per round, in random order. */
