--- a/packages/anvilhinge/src/adapters/direct_client.ts
+++ b/packages/anvilhinge/src/adapters/direct_client.ts
@@ -32,6 +32,7 @@
 ): runner.SessionClient {
   return {
     run: (attempt, stream) => runAttempt(attempt, { ...options, stream }),
+    // A session without agents neither resumes nor seals attempts.
     resume(_request, stream) {
       const message = "The upstream does not keep answers";
       stream.onEnd({ kind: "broken", sent: true, message });
--- a/packages/anvilhinge/src/agent/attempts.ts
+++ b/packages/anvilhinge/src/agent/attempts.ts
@@ -204,7 +204,8 @@
     reason: frames.RefusalReason,
     sink: FrameSink,
   ): void {
-    // A duplicate of the call that arrives later must not start the attempt.
+    // A duplicate of the `run` call that arrives later must not start the
+    // attempt, because the entry may have dispatched another one.
     const canStartLater = reason !== "expired" &&
       reason !== "wrong_incarnation";
     if (canStartLater) guard.forbid(attempt.attemptId, attempt.startByMs);
@@ -314,7 +315,7 @@
     cancel(attemptId) {
       const tracked = trackedAttempts.get(attemptId);
       if (tracked === undefined) {
-        // The cancel arrived before the call that it cancels.
+        // The cancel arrived before the `run` call that it cancels.
         const latestStartMs = options.clock.now() + frames.startWindowMs;
         guard.forbid(attemptId, latestStartMs);
         return false;
--- a/packages/anvilhinge/src/agent/start_guard.ts
+++ b/packages/anvilhinge/src/agent/start_guard.ts
@@ -2,7 +2,7 @@
  * Prevents attempts from starting at an agent after their start was ruled out.
  * An attempt carries the agent's incarnation and the time by which it must
  * start, so a record is needed only until that time, however late a duplicate
- * call arrives.
+ * `run` call arrives.
  */
 import type * as clock from "@anvilhinge/coordination/clock";
 import * as frames from "../ports/frames.ts";
--- a/packages/anvilhinge/src/entry/callers/routed_answer.ts
+++ b/packages/anvilhinge/src/entry/callers/routed_answer.ts
@@ -68,9 +68,9 @@
 
 /** Times at which the parts of an answer were sent. */
 export interface AnswerTimes {
-  /** Time of the first part; undefined if no part was sent. */
+  /** Time of the first part; undefined for a whole answer or if none was sent. */
   readonly firstAtMs: number | undefined;
-  /** Longest pause between two parts, in milliseconds. */
+  /** Longest gap between two consecutive parts, in milliseconds. */
   readonly longestPauseMs: number;
 }
 
@@ -78,7 +78,7 @@
   /** True if the answer is buffered and sent in one piece. */
   readonly isWhole: boolean;
   readonly clock: clock.Clock;
-  /** Called with each pause between two consecutive parts, in milliseconds. */
+  /** Called with each gap between two consecutive parts, in milliseconds. */
   readonly onPause: (pauseMs: number) => void;
 }
 
--- a/packages/anvilhinge/src/entry/choice/dispatch_policy.ts
+++ b/packages/anvilhinge/src/entry/choice/dispatch_policy.ts
@@ -194,7 +194,7 @@
           endAttempt({ kind: isEngineDown ? "failed" : outcome, load });
           return;
         }
-        // The answer was resumed: another entry dispatched the attempt.
+        // The request has no open attempt at this upstream.
         table.recordOutcome(upstream.id, { kind: outcome, load });
       },
       watchFrames: (client) => ({
--- a/packages/anvilhinge/src/entry/choice/routed_policy.ts
+++ b/packages/anvilhinge/src/entry/choice/routed_policy.ts
@@ -65,7 +65,10 @@
   readonly attempts: readonly AttemptRecord[];
   /** Source of the last slot decision: the hub or the entry's own share. */
   readonly decidedBy?: string;
-  /** Total time that the request waited for slots, in milliseconds. */
+  /**
+   * Total time until the slot decisions, in milliseconds. Excludes a wait that
+   * ended without a decision, for example at the deadline.
+   */
   readonly waitedMs: number;
 }
 
@@ -76,7 +79,10 @@
     request: RoutedRequest,
     onDecision: DecisionHandler,
   ): RoutedRequestPolicy;
-  handleMessage(message: slotCoordinator.DispatchMessage, from: string): void;
+  handleMessage(
+    message: slotCoordinator.DispatchMessage,
+    senderAddress: string,
+  ): void;
   countRetriesLeft(): number;
   describePools(): readonly workHub.PoolLoad[];
 }
@@ -376,7 +382,8 @@
         });
       },
       recordOutcome({ upstream, outcome }) {
-        // Keeps a pending slot request: it may belong to the next attempt.
+        // Keeps a pending slot request: after a stall, the session requests the
+        // slot of the next attempt before it reports the end of this attempt.
         releaseAttempt();
         const last = attempts.at(-1);
         if (last !== undefined) {
--- a/packages/anvilhinge/src/entry/choice/slot_coordinator.ts
+++ b/packages/anvilhinge/src/entry/choice/slot_coordinator.ts
@@ -54,8 +54,9 @@
 const idleIntervalMs = 250;
 const logIntervalMs = 1_000;
 /**
- * Time for which a new hub only collects the states of the entries. It assigns
- * no slots before, because only these states show which slots are in use.
+ * Time for which a new hub assigns no slots, because only the states of the
+ * entries show which slots are in use. It drops the states that arrive in this
+ * time; each entry sends its next state after `idleIntervalMs` at the latest.
  */
 const hubWarmUpMs = 300;
 
@@ -162,6 +163,7 @@
       scheduleReport();
     },
     recordStart(request) {
+      // The hub counts a granted slot as used until the next report.
       client.recordStart(request);
     },
     drop(key) {
--- a/packages/anvilhinge/src/entry/choice/upstreams.ts
+++ b/packages/anvilhinge/src/entry/choice/upstreams.ts
@@ -136,8 +136,8 @@
       changedPools.add(previous);
       poolOfGroup.delete(name);
     }
-    // The last member of a pool is never ejected, so that a group with a single
-    // rank has no pool.
+    // The last available member of a pool is never ejected. A group with a
+    // single rank has no pool, as otherwise its rank could not be ejected.
     health.setPool(`group/${name}`, {
       members: spec === undefined || spec.ranks.length === 1
         ? []
--- a/packages/anvilhinge/src/entry/session/agent_client.ts
+++ b/packages/anvilhinge/src/entry/session/agent_client.ts
@@ -7,7 +7,7 @@
 
 /** How a stream of frames ended, as observed by the entry. */
 export type StreamEnd =
-  /** The agent closed the stream without an error. */
+  /** The agent or upstream closed the stream without an error. */
   | { readonly kind: "closed" }
   /** The stream failed; `sent` is false if the request never left this node. */
   | {
@@ -17,7 +17,10 @@
   };
 
 export interface StreamOptions {
-  /** Id of the upstream to which the attempt is addressed. */
+  /**
+   * Id of the upstream to which the attempt is addressed. Used only without
+   * agents; an agent checks the group and rank in the attempt.
+   */
   readonly upstreamId?: string;
   readonly address: string;
   readonly headers?: Readonly<Record<string, string>>;
--- a/packages/anvilhinge/src/entry/session/attempt_state.ts
+++ b/packages/anvilhinge/src/entry/session/attempt_state.ts
@@ -29,7 +29,10 @@
   isObserved: boolean;
 }
 
-/** Time within which an attempt must reach its agent, in milliseconds. */
+/**
+ * Time within which an attempt must reach its agent, in milliseconds. Less than
+ * the start window, as the agent refuses a start limit beyond the window.
+ */
 export const startAllowanceMs = frames.startWindowMs / 2;
 
 /** Creates the state of an attempt that is not yet dispatched. */
--- a/packages/anvilhinge/src/entry/session/runner.ts
+++ b/packages/anvilhinge/src/entry/session/runner.ts
@@ -1,4 +1,7 @@
-/** Executes the effects of a session: calls to agents, timers, the answer. */
+/**
+ * Executes the effects of a session: calls to agents or upstreams, timers, the
+ * answer.
+ */
 import type * as engine from "../../ports/engine.ts";
 import type * as frames from "../../ports/frames.ts";
 import type * as scheduler from "../../ports/scheduler.ts";
@@ -44,7 +47,10 @@
   readonly callerSignal: AbortSignal;
   /** Headers added to each call, for example the trace context. */
   readonly headers?: Readonly<Record<string, string>>;
-  /** Called when an attempt starts; `onObserve` follows when it ends. */
+  /**
+   * Called when an attempt starts: at its preparation if there are agents, at
+   * its dispatch otherwise. `onObserve` follows when the attempt ends.
+   */
   readonly onDispatch: (upstream: session.Upstream) => void;
   readonly onObserve: (
     observation: Extract<session.SessionEffect, { kind: "observe" }>,
@@ -129,6 +135,8 @@
         },
         onEnd(end) {
           if (abort.signal.aborted) return;
+          // Also called after the last frame; the attempt is then no longer the
+          // current attempt, so the session ignores the event.
           feed({
             kind: "lost",
             attemptId,
--- a/packages/anvilhinge/src/entry/session/session.ts
+++ b/packages/anvilhinge/src/entry/session/session.ts
@@ -2,9 +2,9 @@
  * State machine for one caller's request at an entry, from arrival to the final
  * answer. It chooses upstreams, claims requests that must not run twice,
  * processes the frames of the current attempt, retries attempts that did not
- * run, resumes a broken stream without running the attempt again, and seals
- * attempts that may not have started. It is deterministic and performs no I/O:
- * it maps events to effects.
+ * run or may run twice, resumes a broken stream without running the attempt
+ * again, and seals attempts that may not have started. It is deterministic and
+ * performs no I/O: it maps events to effects.
  */
 import * as attemptState from "./attempt_state.ts";
 import * as sessionClaims from "./session_claims.ts";
@@ -55,11 +55,13 @@
     const message = "The deadline passed before the answer was complete";
     const state = shared.current;
     if (shared.isWaiting) return finishNotRun(message, 0);
+    // The lookup of an earlier submission's claim is still in progress.
     if (state === undefined) return finishUnknown(message);
     if (state.phase === "preparing" || state.phase === "claiming") {
       return finishUnsent(state, message);
     }
     const observed = observe(state, "lost");
+    // A claimed attempt is not cancelled: a later lookup can find its outcome.
     if (!request.isRepeatable && options.gate !== "none") {
       return [...observed, ...finishUnknown(message)];
     }
--- a/packages/anvilhinge/src/entry/session/session_claims.ts
+++ b/packages/anvilhinge/src/entry/session/session_claims.ts
@@ -62,6 +62,7 @@
       case "other_body":
         return [...observed, ...finish({ kind: "other_body" })];
       case "full":
+        // A full shard has no claim of an attempt of this call that may have run.
         shared.hasNoEarlierRun = true;
         return [
           ...observed,
--- a/packages/anvilhinge/src/entry/session/session_types.ts
+++ b/packages/anvilhinge/src/entry/session/session_types.ts
@@ -6,11 +6,12 @@
 
 /** An upstream to which an attempt can be dispatched. */
 export interface Upstream {
-  /** `<group>/<rank>`. */
+  /** `<group>/<rank>`; the platform's id of a routed upstream. */
   readonly id: string;
+  /** Name of the group; the service of a routed upstream. */
   readonly group: string;
   readonly rank: number;
-  /** Address of the agent, as `host:port`. */
+  /** Address of the agent or of the routed upstream, as `host:port`. */
   readonly address: string;
   /** Half to which the group is assigned. */
   readonly half: string;
@@ -21,7 +22,7 @@
 /** Result of choosing an upstream for the next attempt. */
 export type UpstreamChoice =
   | { readonly kind: "chosen"; readonly upstream: Upstream }
-  /** No slot is free at any upstream; a `granted` or `denied` event follows. */
+  /** A slot was requested; a `granted` or `denied` event follows. */
   | { readonly kind: "wait" }
   | {
     readonly kind: "none";
@@ -102,8 +103,8 @@
    */
   readonly stallMs?: number;
   /**
-   * Maximum number of bytes of a whole answer that are buffered; a longer
-   * answer is forwarded as it arrives.
+   * Maximum number of bytes of a whole answer that the session buffers; a
+   * longer answer is passed to the sink as it arrives.
    * @default 8388608
    */
   readonly wholeAnswerLimitBytes?: number;
@@ -180,8 +181,8 @@
     readonly ran: RunStatus;
   }
   /**
-   * Whether the request ran is unknown; the caller can query the outcome later
-   * by the request id.
+   * Whether the request ran is unknown. If upstreams have agents, the caller can
+   * query the outcome later by the request id.
    */
   | {
     readonly kind: "unknown";
@@ -194,7 +195,7 @@
     readonly ran: RunStatus;
   }
   /**
-   * The request id or idempotency key was already used for a different
+   * The request id or idempotency key was already used for a different service,
    * method, path or body; this request did not run.
    */
   | { readonly kind: "other_body" }
--- a/packages/anvilhinge/src/ports/caller_dialect.ts
+++ b/packages/anvilhinge/src/ports/caller_dialect.ts
@@ -3,7 +3,7 @@
 
 /** Decoded headers of a request. */
 export interface CallerHeaders {
-  /** Id of this transmission of the request; undefined if missing. */
+  /** Id of this submission of the request; undefined if missing. */
   readonly requestId: string | undefined;
   /** Access key of the workspace; undefined when the caller sent none. */
   readonly key: string | undefined;
--- a/packages/anvilhinge/src/ports/frames.ts
+++ b/packages/anvilhinge/src/ports/frames.ts
@@ -18,7 +18,7 @@
   | "wrong_group"
   /** The local process that the agent fronts accepted no work. */
   | "engine_unavailable"
-  /** The call arrived after the latest time at which it could start. */
+  /** The attempt arrived after the latest time at which it could start. */
   | "expired";
 
 export type FrameBody =
@@ -95,7 +95,7 @@
   /** False if a second run would repeat the effect (not idempotent). */
   readonly isRepeatable: boolean;
   readonly work: Work;
-  /** Id of the event after which a stream resumes. */
+  /** Id of the event after which the upstream continues the stream. */
   readonly resumeAfter?: string;
 }
 
--- a/packages/anvilhinge/src/settings/routing.ts
+++ b/packages/anvilhinge/src/settings/routing.ts
@@ -34,13 +34,13 @@
   readonly timeoutMs: number;
   /** Latency target for the answer or, of a stream, for its first event. */
   readonly latencyTargetMs: number;
-  /** Target for the longest pause between events; streams only. */
+  /** Target for the longest gap between events; streams only. */
   readonly gapTargetMs: number | undefined;
   /** 0 is the most urgent. */
   readonly priority: number;
   /** True when requests need no key. */
   readonly isPublic: boolean;
-  /** True when another upstream can resume an interrupted stream. */
+  /** True when another upstream can continue an interrupted stream. */
   readonly isResumable: boolean;
 }
 
--- a/packages/coordination/src/choice.ts
+++ b/packages/coordination/src/choice.ts
@@ -5,8 +5,9 @@
  * prompt's prefix, as long as the expected wait there is within a bound.
  * Otherwise it samples two upstreams of the subset and takes the one with the
  * shorter expected wait (power of two choices). The expected wait is the
- * lag-compensated load times the step time of the upstream's group. No request
- * scans all upstreams: pools are indexed by name and candidates are sampled.
+ * lag-compensated load times the step time (duration of a forward pass) of the
+ * upstream's group. No request scans all upstreams: pools are indexed by name
+ * and candidates are sampled.
  * Sources: Mitzenmacher, "The power of two choices in randomized load
  * balancing", 2001; Mirrokni, Thorup and Zadimoghaddam, "Consistent hashing
  * with bounded loads", 2018.
--- a/packages/coordination/src/claims.ts
+++ b/packages/coordination/src/claims.ts
@@ -46,7 +46,7 @@
   readonly incarnation: string;
   /** Latest start time of the attempt, on the clock of that agent. */
   readonly startByMs: number;
-  /** Digest of method, path and body. */
+  /** Digest of service, method, path and body. */
   readonly digest: string;
   /** Wall-clock time of the last change, in milliseconds since 1970. */
   readonly changedAtMs: number;
--- a/packages/coordination/src/dispatch/work.ts
+++ b/packages/coordination/src/dispatch/work.ts
@@ -78,7 +78,7 @@
   readonly pool: string;
   /** Duration of a forward pass without requests, in milliseconds. */
   readonly basePassMs: number;
-  /** Maximum pass duration at which streams meet their latency target. */
+  /** Maximum pass duration at which streams meet their gap target. */
   readonly targetPassMs: number;
 }
 
--- a/packages/coordination/src/dispatch/work_client.ts
+++ b/packages/coordination/src/dispatch/work_client.ts
@@ -23,7 +23,8 @@
    */
   readonly hubTimeoutMs?: number;
   /**
-   * Maximum wait for a slot, in milliseconds.
+   * Maximum wait for a slot, in milliseconds. Longer than the maximum wait of
+   * the hub, so that a hub that answers refuses first.
    * @default 1500
    */
   readonly maxWaitMs?: number;
--- a/packages/coordination/src/step_times.ts
+++ b/packages/coordination/src/step_times.ts
@@ -1,8 +1,8 @@
 /**
- * Step time of each group. All ranks of a group run in lock-step, so one slow
- * rank affects the reports of every rank. Without new reports, a step time
- * decays to the mean of all groups, so that a group which was avoided as slow
- * is used again.
+ * Step time of each group: the duration of a forward pass. All ranks of a group
+ * run in lock-step, so one slow rank affects the reports of every rank. Without
+ * new reports, a step time decays to the mean of all groups, so that a group
+ * which was avoided as slow is used again.
  */
 import type * as clock from "./clock.ts";
 import * as loadEstimate from "./load_estimate.ts";
