--- a/packages/anvilhinge/src/agent/mod.ts
+++ b/packages/anvilhinge/src/agent/mod.ts
@@ -1,4 +1,4 @@
-/** The agent role: composes its components and runs their lifecycle. */
+/** The agent role: composes its components and runs their life cycle. */
 import * as nodeCrypto from "node:crypto";
 import * as random from "@anvilhinge/coordination/random";
 import * as awilix from "awilix";
--- a/packages/anvilhinge/src/agent/service.ts
+++ b/packages/anvilhinge/src/agent/service.ts
@@ -34,7 +34,7 @@
   end(event: engine.EngineEvent): void;
 }
 
-/** Maximum data queued for a slow reader before its stream is closed. */
+/** Maximum data queued for a slow follower before its stream is closed. */
 const queueLimitBytes = 1024 * 1024;
 const chatPath = "/v1/chat/completions";
 
@@ -121,7 +121,7 @@
     const sink: attempts.FrameSink = (frame) => {
       queuedBytes += measureData(frame);
       queue.push(frame);
-      // A reader that falls behind can resume from the retained frames.
+      // A follower that falls behind can resume from the retained frames.
       if (isLastFrame(frame) || queuedBytes > queueLimitBytes) queue.close();
     };
     streamCount += 1;
--- a/packages/anvilhinge/src/entry/choice/dispatch_policy.ts
+++ b/packages/anvilhinge/src/entry/choice/dispatch_policy.ts
@@ -167,6 +167,7 @@
           // Counts the refusal as a failure: the agent is up, its engine is not.
           isEngineDown = body.kind === "refused" &&
             body.reason === "engine_unavailable";
+          // Counts each chunk as one token of the workspace's token limit.
           if (isWatched && frame.body.kind === "chunk") {
             workspaces.recordTokens(request.workspace, 1);
           }
--- a/packages/anvilhinge/src/entry/operators/routed_metrics.ts
+++ b/packages/anvilhinge/src/entry/operators/routed_metrics.ts
@@ -12,7 +12,7 @@
   /** `gone` = the caller disconnected before the end of the answer. */
   readonly outcome: "answered" | "failed" | "refused" | "gone";
   readonly tookMs: number;
-  /** Time to the first part; undefined for a whole answer or if there is none. */
+  /** Time to the first part; undefined for a whole answer or without a part. */
   readonly firstMs: number | undefined;
   /** Time for which the request waited for slots. */
   readonly waitedMs: number;
--- a/packages/coordination/src/load_estimate.ts
+++ b/packages/coordination/src/load_estimate.ts
@@ -9,7 +9,7 @@
 export interface LoadReport {
   readonly running: number;
   readonly queued: number;
-  /** Duration of the last step in microseconds; 0 if unknown. */
+  /** Duration of the last forward pass in microseconds; 0 if unknown. */
   readonly stepUs: number;
 }
 
