--- a/packages/anvilhinge/src/entry/choice/dispatch_policy.ts
+++ b/packages/anvilhinge/src/entry/choice/dispatch_policy.ts
@@ -167,6 +167,7 @@
           // Counts the refusal as a failure: the agent is up, its engine is not.
           isEngineDown = body.kind === "refused" &&
             body.reason === "engine_unavailable";
+          // Counts each chunk as one token of the workspace's token limit.
           if (isWatched && frame.body.kind === "chunk") {
             workspaces.recordTokens(request.workspace, 1);
           }
@@ -194,7 +195,7 @@
           endAttempt({ kind: isEngineDown ? "failed" : outcome, load });
           return;
         }
-        // The answer was resumed: another entry dispatched the attempt.
+        // The request has no open attempt at this upstream.
         table.recordOutcome(upstream.id, { kind: outcome, load });
       },
       watchFrames: (client) => ({
