--- a/packages/anvilhinge/src/entry/callers/routed_answer.ts
+++ b/packages/anvilhinge/src/entry/callers/routed_answer.ts
@@ -79,7 +79,7 @@
   readonly isWhole: boolean;
   readonly clock: clock.Clock;
   /** Called with each gap between two consecutive parts, in milliseconds. */
-  readonly onPause: (pauseMs: number) => void;
+  readonly onGap: (pauseMs: number) => void;
 }
 
 /**
@@ -88,7 +88,7 @@
  */
 export function createRoutedAnswerWriter(
   response: http.ServerResponse,
-  { isWhole, clock, onPause }: RoutedAnswerWriterOptions,
+  { isWhole, clock, onGap: onPause }: RoutedAnswerWriterOptions,
 ): RoutedAnswerWriter {
   let head: engine.AnswerHead | undefined;
   let bufferedParts: Uint8Array[] = [];
--- a/packages/anvilhinge/src/entry/callers/routed_http.ts
+++ b/packages/anvilhinge/src/entry/callers/routed_http.ts
@@ -200,7 +200,7 @@
     const sink = routedAnswer.createRoutedAnswerWriter(response, {
       isWhole: !isStream,
       clock: scheduler,
-      onPause: requestPolicy.recordGap,
+      onGap: requestPolicy.recordGap,
     });
     let attemptCount = 0;
     const settingsVersion = view.getTable()?.settings.version;
--- a/packages/anvilhinge/src/entry/control/control_duties.ts
+++ b/packages/anvilhinge/src/entry/control/control_duties.ts
@@ -17,7 +17,7 @@
    * not forwarded again. Resolves to false if the report could not be handled.
    */
   report(
-    received: entryClient.GroupReport & { readonly forwarded: boolean },
+    received: entryClient.DrainedReport & { readonly forwarded: boolean },
   ): Promise<boolean>;
   /** Returns the progress of a move that this entry is in charge of. */
   getOwnProgress(group: string): entryClient.MoveProgress | undefined;
@@ -68,7 +68,7 @@
   }
 
   async function sendReport(
-    report: entryClient.GroupReport,
+    report: entryClient.DrainedReport,
   ): Promise<boolean> {
     const duty = getDuty(report.group);
     const address = await findOtherHolder(duty);
--- a/packages/anvilhinge/src/entry/control/entry_client.ts
+++ b/packages/anvilhinge/src/entry/control/entry_client.ts
@@ -5,7 +5,7 @@
 import * as entryPb from "../../gen/anvilhinge/v1/entry_pb.ts";
 
 /** A rank's report that no work admitted under an older epoch is running. */
-export interface GroupReport extends handover.DrainedReport {
+export interface DrainedReport extends handover.DrainedReport {
   readonly group: string;
   readonly incarnation: string;
 }
@@ -19,7 +19,7 @@
 
 export interface EntryClient {
   /** Resolves to whether the entry accepted the report. */
-  forwardReport(address: string, report: GroupReport): Promise<boolean>;
+  forwardReport(address: string, report: DrainedReport): Promise<boolean>;
   /** Resolves to undefined if the entry is not in charge or the call failed. */
   getMove(address: string, group: string): Promise<MoveProgress | undefined>;
 }
--- a/packages/anvilhinge/src/entry/control/handover_duty.ts
+++ b/packages/anvilhinge/src/entry/control/handover_duty.ts
@@ -33,7 +33,7 @@
 
 export interface HandoverDuty {
   /** Handles a report; false unless this entry is in charge of a pending move. */
-  report(received: entryClient.GroupReport): Promise<boolean>;
+  report(received: entryClient.DrainedReport): Promise<boolean>;
   /** Returns the progress of a pending move; undefined if there is none here. */
   getProgress(group: string): entryClient.MoveProgress | undefined;
   listConflicts(): readonly GroupConflict[];
