--- a/packages/anvilhinge/src/entry/callers/routed_answer.ts
+++ b/packages/anvilhinge/src/entry/callers/routed_answer.ts
@@ -88,7 +88,7 @@
  */
 export function createRoutedAnswerWriter(
   response: http.ServerResponse,
-  { isWhole, clock, onGap: onPause }: RoutedAnswerWriterOptions,
+  { isWhole, clock, onGap }: RoutedAnswerWriterOptions,
 ): RoutedAnswerWriter {
   let head: engine.AnswerHead | undefined;
   let bufferedParts: Uint8Array[] = [];
@@ -105,7 +105,7 @@
     } else {
       const pauseMs = nowMs - lastAtMs;
       longestPauseMs = Math.max(longestPauseMs, pauseMs);
-      onPause(pauseMs);
+      onGap(pauseMs);
     }
     lastAtMs = nowMs;
   }
